--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -190,7 +190,7 @@
                 Err(lost) => return lost,
             };
             let next = match message {
-                FeedMessage::Beat { age, list } => self.vouched(age, list),
+                FeedMessage::Heartbeat { age, list } => self.vouched(age, list),
                 FeedMessage::EvidenceAnswer(answer) => {
                     self.gateway.reader_link.answered(answer);
                     continue;
@@ -351,7 +351,7 @@
         }
         // A beat vouches only, instances and the fleet are kept apart; a follower has no
         // use for the others.
-        FeedMessage::Beat { .. }
+        FeedMessage::Heartbeat { .. }
         | FeedMessage::Fleet(_)
         | FeedMessage::FleetChanges(_)
         | FeedMessage::Instances(_)
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -193,7 +193,7 @@
         }
         // It goes last, since it vouches for all that came before it; writing
         // that may have taken its time.
-        let beat = FeedMessage::Beat {
+        let beat = FeedMessage::Heartbeat {
             age: age + as_of.elapsed(),
             list,
         };
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -158,7 +158,7 @@
     /// What has changed in it since.
     FleetChanges(FeedFleetChanges),
     /// The reader lives; its last answer from the store is this old.
-    Beat {
+    Heartbeat {
         /// Age of the last answer, in milliseconds.
         age: Duration,
         /// As of when what it told of instances was the store's; `None` if it knows no such
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -47,7 +47,7 @@
     #[n(3)]
     Fleet(#[n(0)] WireFleet),
     #[n(4)]
-    Beat(#[n(0)] u64, #[n(1)] Option<u64>, #[n(2)] Option<i64>),
+    Heartbeat(#[n(0)] u64, #[n(1)] Option<u64>, #[n(2)] Option<i64>),
     #[n(5)]
     Renewal(#[n(0)] WireNode, #[n(1)] Option<u64>),
     #[n(6)]
@@ -155,7 +155,7 @@
             nodes_to_wire(&changes.changed),
             changes.gone.clone(),
         ),
-        FeedMessage::Beat { age, list } => WireMessage::Beat(
+        FeedMessage::Heartbeat { age, list } => WireMessage::Heartbeat(
             milliseconds(*age),
             list.map(|list| list.renewal),
             list.map(|list| list.offset_ms),
@@ -234,7 +234,7 @@
                 gone,
             })
         }
-        WireMessage::Beat(age, renewal, offset_ms) => FeedMessage::Beat {
+        WireMessage::Heartbeat(age, renewal, offset_ms) => FeedMessage::Heartbeat {
             age: Duration::from_millis(age),
             list: renewal
                 .zip(offset_ms)
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -165,7 +165,7 @@
             changed: Vec::new(),
             gone: Vec::new(),
         }),
-        FeedMessage::Beat {
+        FeedMessage::Heartbeat {
             age: Duration::from_millis(250),
             list: Some(ListMoment {
                 renewal: 12,
