--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -9,7 +9,7 @@
 use linkhold_core::service::permission::{RecentClaim, Renewed};
 use linkhold_core::service::readers::FOLLOWER_RENEWAL;
 use linkhold_events::Event;
-use linkhold_peer::{FeedMessage, ListMoment, MAX_FEED_MESSAGE, PeerKey, decode_feed};
+use linkhold_peer::{FeedMessage, RelativeTimestamp, MAX_FEED_MESSAGE, PeerKey, decode_feed};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -258,7 +258,7 @@
     }
 
     /// A moment that the reader told, by this node's clock.
-    fn moment_of(&self, list: Option<ListMoment>) -> Option<Instant> {
+    fn moment_of(&self, list: Option<RelativeTimestamp>) -> Option<Instant> {
         let list = list?;
         list.after(lock(self.renewals).sent_at(list.renewal)?)
     }
@@ -303,7 +303,7 @@
     }
 
     /// The reader vouches for what it told before; until when it may be silent.
-    fn vouched(&mut self, age: Duration, list: Option<ListMoment>) -> Result<Instant, Lost> {
+    fn vouched(&mut self, age: Duration, list: Option<RelativeTimestamp>) -> Result<Instant, Lost> {
         let now = Instant::now();
         let freshness = self.gateway.freshness;
         if !freshness.is_trusted(age, Duration::ZERO) {
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::readers::shed_probability;
 use linkhold_core::service::store_place::StorePlace;
-use linkhold_peer::{EvidenceQuestion, FeedMessage, ListMoment, PeerKey};
+use linkhold_peer::{EvidenceQuestion, FeedMessage, RelativeTimestamp, PeerKey};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::watch;
@@ -211,11 +211,11 @@
 fn list_moment<P: Platform>(
     gateway: &Gateway<P>,
     arrival: &watch::Receiver<Option<Arrival>>,
-) -> Option<ListMoment> {
+) -> Option<RelativeTimestamp> {
     let moment = gateway.beliefs.directory_as_of()?;
     let process = arrival.borrow().as_ref()?.process.clone();
     let (renewal, heard_at) = gateway.followers.last_renewal(&process)?;
-    Some(ListMoment::new(moment, renewal, heard_at))
+    Some(RelativeTimestamp::new(moment, renewal, heard_at))
 }
 
 /// Waits until a node that has just taken up reading knows what it is to tell.
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -163,7 +163,7 @@
         age: Duration,
         /// As of when what it told of instances was the store's; `None` if it knows no such
         /// moment, or has not heard of the follower.
-        list: Option<ListMoment>,
+        list: Option<RelativeTimestamp>,
     },
 }
 
@@ -171,14 +171,14 @@
 /// follower's renewals. The follower counts from when it had sent that, which is earlier, so
 /// time on the way, or in a process that was paused, makes a list older and never younger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListMoment {
+pub struct RelativeTimestamp {
     /// The renewal's number.
     pub renewal: u64,
     /// Milliseconds from its arrival to the moment, rounded down; negative if that was before.
     pub offset_ms: i64,
 }
 
-impl ListMoment {
+impl RelativeTimestamp {
     /// Tells a moment by a renewal that arrived at another.
     pub fn new(moment: Instant, renewal: u64, arrived_at: Instant) -> Self {
         let offset_ms = match moment.checked_duration_since(arrived_at) {
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -30,7 +30,7 @@
 
 pub use message::{
     EvidenceAnswer, EvidenceQuestion, FeedEvacuations, FeedFleet, FeedFleetChanges,
-    FeedInstanceChanges, FeedInstances, FeedMessage, FeedNode, ListMoment,
+    FeedInstanceChanges, FeedInstances, FeedMessage, FeedNode, RelativeTimestamp,
 };
 
 /// Longest message, in bytes.
@@ -238,7 +238,7 @@
             age: Duration::from_millis(age),
             list: renewal
                 .zip(offset_ms)
-                .map(|(renewal, offset_ms)| ListMoment { renewal, offset_ms }),
+                .map(|(renewal, offset_ms)| RelativeTimestamp { renewal, offset_ms }),
         },
     })
 }
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -14,7 +14,7 @@
 use linkhold_core::tenancy::{Credential, RateLimit, Tenancy, Tenant};
 use linkhold_peer::{
     EvidenceAnswer, EvidenceQuestion, FeedFleet, FeedFleetChanges, FeedInstanceChanges,
-    FeedInstances, FeedMessage, FeedNode, ListMoment, PeerError, PeerKey, QuestionPurpose,
+    FeedInstances, FeedMessage, FeedNode, RelativeTimestamp, PeerError, PeerKey, QuestionPurpose,
     QuestionSubject, Reachability, ReachabilityMessage, decode_feed, decode_reachability,
     encode_feed, encode_reachability,
 };
@@ -167,7 +167,7 @@
         }),
         FeedMessage::Heartbeat {
             age: Duration::from_millis(250),
-            list: Some(ListMoment {
+            list: Some(RelativeTimestamp {
                 renewal: 12,
                 offset_ms: -340,
             }),
@@ -186,7 +186,7 @@
     ) {
         let start = Instant::now();
         let at = |microseconds: u64| start + Duration::from_micros(microseconds);
-        let told = ListMoment::new(at(moment), 3, at(sent + way));
+        let told = RelativeTimestamp::new(at(moment), 3, at(sent + way));
         let taken = told.after(at(sent));
         // Before the process started is as good as never.
         if let Some(taken) = taken {
