--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -260,7 +260,7 @@
     /// A moment that the reader told, by this node's clock.
     fn moment_of(&self, list: Option<RelativeTimestamp>) -> Option<Instant> {
         let list = list?;
-        list.after(lock(self.renewals).sent_at(list.renewal)?)
+        list.resolve(lock(self.renewals).sent_at(list.renewal)?)
     }
 
     /// Keeps what is told until it is vouched for.
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -192,7 +192,7 @@
     }
 
     /// The moment, or an earlier one, by the clock of who sent the renewal.
-    pub fn after(self, sent_at: Instant) -> Option<Instant> {
+    pub fn resolve(self, sent_at: Instant) -> Option<Instant> {
         let offset = Duration::from_millis(self.offset_ms.unsigned_abs());
         if self.offset_ms >= 0 {
             sent_at.checked_add(offset)
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -187,7 +187,7 @@
         let start = Instant::now();
         let at = |microseconds: u64| start + Duration::from_micros(microseconds);
         let told = RelativeTimestamp::new(at(moment), 3, at(sent + way));
-        let taken = told.after(at(sent));
+        let taken = told.resolve(at(sent));
         // Before the process started is as good as never.
         if let Some(taken) = taken {
             prop_assert!(taken <= at(moment));
