--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -190,7 +190,7 @@
                 Err(lost) => return lost,
             };
             let next = match message {
-                FeedMessage::Heartbeat { age, list } => self.vouched(age, list),
+                FeedMessage::Heartbeat { age, list_as_of } => self.vouched(age, list_as_of),
                 FeedMessage::EvidenceAnswer(answer) => {
                     self.gateway.reader_link.answered(answer);
                     continue;
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -179,7 +179,7 @@
         }
         changes.mark_unchanged();
         // Known before what is told: that is as new at the least.
-        let list = list_moment(gateway, &arrival);
+        let list_as_of = list_moment(gateway, &arrival);
         let mut frames = if is_listed {
             news(gateway, &mut told, key)
         } else {
@@ -195,7 +195,7 @@
         // that may have taken its time.
         let beat = FeedMessage::Heartbeat {
             age: age + as_of.elapsed(),
-            list,
+            list_as_of,
         };
         let beat = frame(&beat, key);
         if send(gateway, writing, FeedKind::Beat, &beat).await.is_err() {
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -163,7 +163,7 @@
         age: Duration,
         /// As of when what it told of instances was the store's; `None` if it knows no such
         /// moment, or has not heard of the follower.
-        list: Option<RelativeTimestamp>,
+        list_as_of: Option<RelativeTimestamp>,
     },
 }
 
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -155,10 +155,10 @@
             nodes_to_wire(&changes.changed),
             changes.gone.clone(),
         ),
-        FeedMessage::Heartbeat { age, list } => WireMessage::Heartbeat(
+        FeedMessage::Heartbeat { age, list_as_of } => WireMessage::Heartbeat(
             milliseconds(*age),
-            list.map(|list| list.renewal),
-            list.map(|list| list.offset_ms),
+            list_as_of.map(|list_as_of| list_as_of.renewal),
+            list_as_of.map(|list_as_of| list_as_of.offset_ms),
         ),
     }
 }
@@ -236,7 +236,7 @@
         }
         WireMessage::Heartbeat(age, renewal, offset_ms) => FeedMessage::Heartbeat {
             age: Duration::from_millis(age),
-            list: renewal
+            list_as_of: renewal
                 .zip(offset_ms)
                 .map(|(renewal, offset_ms)| RelativeTimestamp { renewal, offset_ms }),
         },
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -167,7 +167,7 @@
         }),
         FeedMessage::Heartbeat {
             age: Duration::from_millis(250),
-            list: Some(RelativeTimestamp {
+            list_as_of: Some(RelativeTimestamp {
                 renewal: 12,
                 offset_ms: -340,
             }),
