--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -347,7 +347,7 @@
         }
         FeedMessage::Evacuations(known) => {
             let beliefs = &gateway.beliefs;
-            beliefs.replace_evacuations(known.zones, known.place, Instant::now());
+            beliefs.replace_evacuations(known.zones, known.revision, Instant::now());
         }
         // A beat vouches only, instances and the fleet are kept apart; a follower has no
         // use for the others.
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -67,7 +67,7 @@
     pub fn evacuations(&self, zones: &[ZoneName], as_of: StorePlace, key: &PeerKey) -> Frame {
         let message = || {
             FeedMessage::Evacuations(FeedEvacuations {
-                place: as_of,
+                revision: as_of,
                 zones: zones.to_vec(),
             })
         };
@@ -178,7 +178,7 @@
 
     fn whole(&self) -> FeedMessage {
         FeedMessage::Instances(FeedInstances {
-            place: self.place,
+            revision: self.place,
             instances: self.instances.values().cloned().collect(),
         })
     }
@@ -190,7 +190,7 @@
         let changed = self.instances.iter().filter(is_new);
         let is_gone = |id: &&InstanceId| !self.instances.contains_key(*id);
         let changes = FeedInstanceChanges {
-            place: self.place,
+            revision: self.place,
             changed: changed.map(|(_, entry)| entry.clone()).collect(),
             gone: before.instances.keys().filter(is_gone).cloned().collect(),
         };
--- a/crates/linkhold-gateway/src/feed/told.rs
+++ b/crates/linkhold-gateway/src/feed/told.rs
@@ -88,7 +88,7 @@
 }
 
 fn adopt_instances<P: Platform>(gateway: &Gateway<P>, known: FeedInstances) {
-    gateway.store_era.seen(known.place.era());
+    gateway.store_era.seen(known.revision.era());
     let listed = known
         .instances
         .into_iter()
@@ -96,13 +96,13 @@
         .map(|(instance, _)| instance);
     gateway
         .beliefs
-        .replace_instances(listed.collect(), known.place, Instant::now());
+        .replace_instances(listed.collect(), known.revision, Instant::now());
 }
 
 fn adopt_instance_changes<P: Platform>(gateway: &Gateway<P>, changes: FeedInstanceChanges) {
     let beliefs = &gateway.beliefs;
-    gateway.store_era.seen(changes.place.era());
-    if !beliefs.advance_directory(changes.place) {
+    gateway.store_era.seen(changes.revision.era());
+    if !beliefs.advance_directory(changes.revision) {
         return;
     }
     let now = Instant::now();
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedInstances {
     /// The place in the store's changes up to which they were read.
-    pub place: StorePlace,
+    pub revision: StorePlace,
     /// Each instance, and whether it is still listed.
     pub instances: Vec<(Instance, bool)>,
 }
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedInstanceChanges {
     /// The place in the store's changes up to which they were read.
-    pub place: StorePlace,
+    pub revision: StorePlace,
     /// Instances that are new or have changed, and whether they are listed.
     pub changed: Vec<(Instance, bool)>,
     /// Instances that are no longer known.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedEvacuations {
     /// The place in the store's changes up to which they were read.
-    pub place: StorePlace,
+    pub revision: StorePlace,
     /// The zones.
     pub zones: Vec<ZoneName>,
 }
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -133,14 +133,14 @@
             WireMessage::Configuration(configuration_to_wire(configuration))
         }
         FeedMessage::Evacuations(known) => WireMessage::Evacuations(
-            known.place.to_bits(),
+            known.revision.to_bits(),
             known.zones.iter().map(ToString::to_string).collect(),
         ),
         FeedMessage::Instances(known) => {
-            WireMessage::Instances(known.place.to_bits(), instances_to_wire(&known.instances))
+            WireMessage::Instances(known.revision.to_bits(), instances_to_wire(&known.instances))
         }
         FeedMessage::InstanceChanges(changes) => WireMessage::InstanceChanges(
-            changes.place.to_bits(),
+            changes.revision.to_bits(),
             instances_to_wire(&changes.changed),
             changes.gone.iter().map(ToString::to_string).collect(),
         ),
@@ -201,18 +201,18 @@
         WireMessage::Configuration(wire) => {
             FeedMessage::Configuration(configuration_from_wire(wire)?)
         }
-        WireMessage::Evacuations(place, zones) => FeedMessage::Evacuations(FeedEvacuations {
-            place: StorePlace::from_bits(place),
+        WireMessage::Evacuations(revision, zones) => FeedMessage::Evacuations(FeedEvacuations {
+            revision: StorePlace::from_bits(revision),
             zones: zones.into_iter().map(ZoneName::from).collect(),
         }),
-        WireMessage::Instances(place, wire) => FeedMessage::Instances(FeedInstances {
-            place: StorePlace::from_bits(place),
+        WireMessage::Instances(revision, wire) => FeedMessage::Instances(FeedInstances {
+            revision: StorePlace::from_bits(revision),
             instances: instances_from_wire(wire)?,
         }),
-        WireMessage::InstanceChanges(place, changed, gone) => {
+        WireMessage::InstanceChanges(revision, changed, gone) => {
             let gone = gone.into_iter().map(|id| InstanceId(id.into()));
             FeedMessage::InstanceChanges(FeedInstanceChanges {
-                place: StorePlace::from_bits(place),
+                revision: StorePlace::from_bits(revision),
                 changed: instances_from_wire(changed)?,
                 gone: gone.collect(),
             })
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -121,7 +121,7 @@
         FeedMessage::Relay(InstanceId("i-1".into())),
         FeedMessage::Relayed,
         FeedMessage::InstanceChanges(FeedInstanceChanges {
-            place: StorePlace::new(Era(2), 9),
+            revision: StorePlace::new(Era(2), 9),
             changed: vec![(instance.clone(), false)],
             gone: vec![InstanceId("two".into())],
         }),
@@ -145,7 +145,7 @@
         }),
         FeedMessage::Configuration(configuration()),
         FeedMessage::Instances(FeedInstances {
-            place: StorePlace::new(Era::default(), 77),
+            revision: StorePlace::new(Era::default(), 77),
             instances: vec![(instance, false)],
         }),
         FeedMessage::Fleet(FeedFleet {
