--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -192,9 +192,9 @@
         let changes = FeedInstanceChanges {
             revision: self.place,
             changed: changed.map(|(_, entry)| entry.clone()).collect(),
-            gone: before.instances.keys().filter(is_gone).cloned().collect(),
+            removed: before.instances.keys().filter(is_gone).cloned().collect(),
         };
-        let is_news = !changes.changed.is_empty() || !changes.gone.is_empty();
+        let is_news = !changes.changed.is_empty() || !changes.removed.is_empty();
         is_news.then_some(FeedMessage::InstanceChanges(changes))
     }
 }
@@ -225,7 +225,7 @@
             size: self.fleet.size,
             readers: has_other_readers.then(|| self.fleet.readers.clone()),
             changed: self.fleet.nodes.iter().filter(is_new).cloned().collect(),
-            gone: gone.map(|node| node.name.clone()).collect(),
+            removed: gone.map(|node| node.name.clone()).collect(),
         }))
     }
 }
--- a/crates/linkhold-gateway/src/feed/told.rs
+++ b/crates/linkhold-gateway/src/feed/told.rs
@@ -38,7 +38,7 @@
         let changed = changes.changed.into_iter();
         self.nodes
             .extend(changed.map(|node| (node.name.clone(), node)));
-        for name in &changes.gone {
+        for name in &changes.removed {
             self.nodes.remove(name);
         }
         self.is_news = true;
@@ -113,7 +113,7 @@
             beliefs.vanish_instance(instance.id.name(), now);
         }
     }
-    for id in changes.gone {
+    for id in changes.removed {
         beliefs.vanish_life(&id, now);
     }
 }
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -45,7 +45,7 @@
     /// Nodes that are new or have changed.
     pub changed: Vec<FeedNode>,
     /// Names of nodes that are gone.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
 }
 
 /// All instances, as a reader knows them.
@@ -66,7 +66,7 @@
     /// Instances that are new or have changed, and whether they are listed.
     pub changed: Vec<(Instance, bool)>,
     /// Instances that are no longer known.
-    pub gone: Vec<InstanceId>,
+    pub removed: Vec<InstanceId>,
 }
 
 /// The zones that are evacuated, as a reader knows them.
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -142,7 +142,7 @@
         FeedMessage::InstanceChanges(changes) => WireMessage::InstanceChanges(
             changes.revision.to_bits(),
             instances_to_wire(&changes.changed),
-            changes.gone.iter().map(ToString::to_string).collect(),
+            changes.removed.iter().map(ToString::to_string).collect(),
         ),
         FeedMessage::Fleet(fleet) => WireMessage::Fleet(WireFleet {
             size: fleet.size as u64,
@@ -153,7 +153,7 @@
             changes.size as u64,
             changes.readers.as_deref().map(nodes_to_wire),
             nodes_to_wire(&changes.changed),
-            changes.gone.clone(),
+            changes.removed.clone(),
         ),
         FeedMessage::Heartbeat { age, list_as_of } => WireMessage::Heartbeat(
             milliseconds(*age),
@@ -209,12 +209,12 @@
             revision: StorePlace::from_bits(revision),
             instances: instances_from_wire(wire)?,
         }),
-        WireMessage::InstanceChanges(revision, changed, gone) => {
-            let gone = gone.into_iter().map(|id| InstanceId(id.into()));
+        WireMessage::InstanceChanges(revision, changed, removed) => {
+            let removed = removed.into_iter().map(|id| InstanceId(id.into()));
             FeedMessage::InstanceChanges(FeedInstanceChanges {
                 revision: StorePlace::from_bits(revision),
                 changed: instances_from_wire(changed)?,
-                gone: gone.collect(),
+                removed: removed.collect(),
             })
         }
         WireMessage::Fleet(wire) => FeedMessage::Fleet(FeedFleet {
@@ -222,7 +222,7 @@
             readers: nodes_from_wire(wire.readers)?,
             nodes: nodes_from_wire(wire.nodes)?,
         }),
-        WireMessage::FleetChanges(size, readers, changed, gone) => {
+        WireMessage::FleetChanges(size, readers, changed, removed) => {
             let readers = match readers {
                 Some(readers) => Some(nodes_from_wire(readers)?),
                 None => None,
@@ -231,7 +231,7 @@
                 size: size as usize,
                 readers,
                 changed: nodes_from_wire(changed)?,
-                gone,
+                removed,
             })
         }
         WireMessage::Heartbeat(age, renewal, offset_ms) => FeedMessage::Heartbeat {
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -123,7 +123,7 @@
         FeedMessage::InstanceChanges(FeedInstanceChanges {
             revision: StorePlace::new(Era(2), 9),
             changed: vec![(instance.clone(), false)],
-            gone: vec![InstanceId("two".into())],
+            removed: vec![InstanceId("two".into())],
         }),
         FeedMessage::EvidenceQuestion(EvidenceQuestion {
             number: 3,
@@ -157,13 +157,13 @@
             size: 301,
             readers: None,
             changed: vec![node.clone()],
-            gone: vec!["gone".to_owned()],
+            removed: vec!["gone".to_owned()],
         }),
         FeedMessage::FleetChanges(FeedFleetChanges {
             size: 302,
             readers: Some(vec![node]),
             changed: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
         }),
         FeedMessage::Heartbeat {
             age: Duration::from_millis(250),
