--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -33,7 +33,7 @@
         gateway,
         rand::random(),
         QuestionSubject::Instance(primary.id.to_string()),
-        QuestionPurpose::Look,
+        QuestionPurpose::Probe,
         &audience,
     );
     let is_failing = gateway
@@ -130,7 +130,7 @@
     const ASKED: usize = 2;
     let audience = Audience::for_look(gateway, service).sample(ASKED);
     let subject = QuestionSubject::PrimaryOf(service.to_string());
-    let purpose = QuestionPurpose::Look;
+    let purpose = QuestionPurpose::Probe;
     let findings = peers::ask(gateway, rand::random(), subject, purpose, &audience).await;
     let present = gateway.beliefs.primary(service);
     let is_news = |id: &&InstanceId| present.as_ref().is_none_or(|primary| primary.id != **id);
@@ -288,7 +288,7 @@
         return Ok(());
     }
     let audience = Audience::for_look(gateway, service);
-    let purpose = QuestionPurpose::Look;
+    let purpose = QuestionPurpose::Probe;
     let findings = peers::ask(gateway, rand::random(), subject.clone(), purpose, &audience).await;
     if findings.tally.reached == 0 {
         return Ok(());
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! # Invariant
 //!
-//! No promotion rests on a sample of the fleet. A look ([`QuestionPurpose::Look`])
+//! No promotion rests on a sample of the fleet. A look ([`QuestionPurpose::Probe`])
 //! may ask some nodes; whoever replaces a primary asks everyone
 //! ([`Audience::everyone`]), as listed in the store at that moment. In a large fleet the
 //! watchers of the service alone try the instance when they are asked; the others tell
@@ -228,7 +228,7 @@
     };
     let found = match &instance {
         Some(instance)
-            if purpose == QuestionPurpose::Look || believes_in(&gateway, instance, &subject) =>
+            if purpose == QuestionPurpose::Probe || believes_in(&gateway, instance, &subject) =>
         {
             find(&gateway, instance, purpose).await
         }
--- a/crates/linkhold-peer/src/reachability.rs
+++ b/crates/linkhold-peer/src/reachability.rs
@@ -28,7 +28,7 @@
 pub enum QuestionPurpose {
     /// To find out whether the instance is lost.
     #[n(0)]
-    Look,
+    Probe,
     /// To replace it. Whoever answers [`Reachability::Unreached`] agrees to
     /// acknowledge nothing that the instance commits for a while.
     #[n(1)]
