--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -178,7 +178,7 @@
                 .quotas
                 .answered(number, BudgetAnswer::Granted(grant));
         }
-        BudgetMessage::Elsewhere { number, address } => match address.parse() {
+        BudgetMessage::Redirect { number, address } => match address.parse() {
             Ok(address) => {
                 let answer = BudgetAnswer::Elsewhere(address);
                 gateway.quotas.answered(number, answer);
@@ -201,7 +201,7 @@
             amount: grant.amount,
             retry_after_ms: milliseconds(grant.retry_after),
         },
-        BudgetAnswer::Elsewhere(address) => BudgetMessage::Elsewhere {
+        BudgetAnswer::Elsewhere(address) => BudgetMessage::Redirect {
             number,
             address: address.to_string(),
         },
--- a/crates/linkhold-peer/src/datagram.rs
+++ b/crates/linkhold-peer/src/datagram.rs
@@ -45,7 +45,7 @@
     },
     /// Another node is the tenant's coordinator.
     #[n(12)]
-    Elsewhere {
+    Redirect {
         /// The question's number.
         #[n(0)]
         number: u64,
