--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -361,8 +361,8 @@
         | FeedMessage::Listed { .. }
         | FeedMessage::Confirmed { .. }
         | FeedMessage::Leaving
-        | FeedMessage::Relay(_)
-        | FeedMessage::Relayed
+        | FeedMessage::RelayRequest(_)
+        | FeedMessage::RelayAccepted
         | FeedMessage::Forward
         | FeedMessage::EvidenceQuestion(_)
         | FeedMessage::EvidenceAnswer(_) => {}
--- a/crates/linkhold-gateway/src/feed/mod.rs
+++ b/crates/linkhold-gateway/src/feed/mod.rs
@@ -59,7 +59,7 @@
     let opening = timeout(OPENING_TIMEOUT, read_message(&mut stream, &key)).await;
     match opening {
         Ok(Ok(FeedMessage::Subscribe)) => reader::serve(&gateway, stream, &key).await,
-        Ok(Ok(FeedMessage::Relay(id))) => relay::serve(&gateway, stream, &id, &key).await,
+        Ok(Ok(FeedMessage::RelayRequest(id))) => relay::serve(&gateway, stream, &id, &key).await,
         Ok(Ok(FeedMessage::Forward)) => forward::serve(&gateway, stream, &key).await,
         // Whoever opened it finds it closed.
         _ => {}
--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -118,9 +118,9 @@
 async fn ask_for_relay(peer: SocketAddr, id: &InstanceId, key: &PeerKey) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(peer).await?;
     stream.set_nodelay(true)?;
-    write_message(&mut stream, &FeedMessage::Relay(id.clone()), key).await?;
+    write_message(&mut stream, &FeedMessage::RelayRequest(id.clone()), key).await?;
     match read_message(&mut stream, key).await? {
-        FeedMessage::Relayed => Ok(stream),
+        FeedMessage::RelayAccepted => Ok(stream),
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
@@ -147,7 +147,7 @@
     };
     // A socket that refuses it still works, only later.
     let _ = onward.set_nodelay(true);
-    if write_message(&mut stream, &FeedMessage::Relayed, key)
+    if write_message(&mut stream, &FeedMessage::RelayAccepted, key)
         .await
         .is_err()
     {
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -136,9 +136,9 @@
     /// A follower ends in good order; nobody needs to wait for its answers.
     Leaving,
     /// A node asks to be connected to an instance over this stream.
-    Relay(InstanceId),
+    RelayRequest(InstanceId),
     /// From here on the stream leads to the instance.
-    Relayed,
+    RelayAccepted,
     /// From here on the stream carries [`crate::ForwardMessage`]s.
     Forward,
     /// A follower asks for evidence.
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -51,9 +51,9 @@
     #[n(5)]
     Renewal(#[n(0)] WireNode, #[n(1)] Option<u64>),
     #[n(6)]
-    Relay(#[n(0)] String),
+    RelayRequest(#[n(0)] String),
     #[n(7)]
-    Relayed,
+    RelayAccepted,
     #[n(10)]
     Forward,
     #[n(11)]
@@ -115,9 +115,9 @@
         FeedMessage::Confirmed { number, agreed } => {
             WireMessage::Confirmed(*number, agreed.clone())
         }
-        FeedMessage::Relay(id) => WireMessage::Relay(id.0.to_string()),
+        FeedMessage::RelayRequest(id) => WireMessage::RelayRequest(id.0.to_string()),
         FeedMessage::Leaving => WireMessage::Leaving,
-        FeedMessage::Relayed => WireMessage::Relayed,
+        FeedMessage::RelayAccepted => WireMessage::RelayAccepted,
         FeedMessage::Forward => WireMessage::Forward,
         FeedMessage::EvidenceQuestion(question) => WireMessage::EvidenceQuestion(
             question.number,
@@ -180,9 +180,9 @@
                 .collect(),
         },
         WireMessage::Confirmed(number, agreed) => FeedMessage::Confirmed { number, agreed },
-        WireMessage::Relay(id) => FeedMessage::Relay(InstanceId(id.into())),
+        WireMessage::RelayRequest(id) => FeedMessage::RelayRequest(InstanceId(id.into())),
         WireMessage::Leaving => FeedMessage::Leaving,
-        WireMessage::Relayed => FeedMessage::Relayed,
+        WireMessage::RelayAccepted => FeedMessage::RelayAccepted,
         WireMessage::Forward => FeedMessage::Forward,
         WireMessage::EvidenceQuestion(number, service, max_age) => {
             FeedMessage::EvidenceQuestion(EvidenceQuestion {
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -118,8 +118,8 @@
             number: 14,
             agreed: vec!["instance one".to_owned()],
         },
-        FeedMessage::Relay(InstanceId("i-1".into())),
-        FeedMessage::Relayed,
+        FeedMessage::RelayRequest(InstanceId("i-1".into())),
+        FeedMessage::RelayAccepted,
         FeedMessage::InstanceChanges(FeedInstanceChanges {
             revision: StorePlace::new(Era(2), 9),
             changed: vec![(instance.clone(), false)],
