--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -103,12 +103,12 @@
             Ok(Datagram::Reachability(ReachabilityMessage::Answer {
                 number,
                 found,
-                leader,
+                primary,
             })) => {
                 let answer = PeerAnswer {
                     from,
                     found,
-                    leader: leader.as_deref().map(instance_id),
+                    leader: primary.as_deref().map(instance_id),
                 };
                 gateway.peers.questions.answered(number, answer);
             }
@@ -250,12 +250,12 @@
     let is_leader =
         found == Reachability::Reached && matches!(subject, QuestionSubject::PrimaryOf(_));
     let is_proved = |it: &Arc<Instance>| believes_in(&gateway, it, &subject);
-    let leader = instance.filter(|it| is_leader && is_proved(it));
-    let leader = leader.map(|it| it.id.to_string());
+    let primary = instance.filter(|it| is_leader && is_proved(it));
+    let primary = primary.map(|it| it.id.to_string());
     let message = ReachabilityMessage::Answer {
         number: asker.number,
         found,
-        leader,
+        primary,
     };
     // A lost answer counts as none.
     let _ = asker
--- a/crates/linkhold-peer/src/reachability.rs
+++ b/crates/linkhold-peer/src/reachability.rs
@@ -85,7 +85,7 @@
         /// The instance that was found to lead, where the question names a service and it
         /// was reached as a primary.
         #[n(2)]
-        leader: Option<String>,
+        primary: Option<String>,
     },
     /// Whoever asked a question to replace an instance orders nothing.
     #[n(4)]
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -210,7 +210,7 @@
     let answer = ReachabilityMessage::Answer {
         number: 9,
         found: Reachability::Reached,
-        leader: Some("one".to_owned()),
+        primary: Some("one".to_owned()),
     };
     for message in [question, answer] {
         let bytes = encode_reachability(&message, &key());
