--- a/crates/linkhold-gateway/src/pool/lease.rs
+++ b/crates/linkhold-gateway/src/pool/lease.rs
@@ -70,8 +70,8 @@
 
     /// Statements fell silent on another connection: those that are as old are asked
     /// before they are used.
-    pub(crate) fn suspect_elders(&self, sent_at: Instant) {
-        self.pool.suspect_elders(sent_at);
+    pub(crate) fn suspect_used_before(&self, sent_at: Instant) {
+        self.pool.suspect_used_before(sent_at);
     }
 
     /// Whether the connection still answers. What is open on it is rolled back.
--- a/crates/linkhold-gateway/src/pool/mod.rs
+++ b/crates/linkhold-gateway/src/pool/mod.rs
@@ -255,7 +255,7 @@
 
     /// A connection gave no answer to what was sent at `sent_at`: those that were
     /// used last before that may be as silent as it.
-    pub(crate) fn suspect_elders(&self, sent_at: Instant) {
+    pub(crate) fn suspect_used_before(&self, sent_at: Instant) {
         let mut state = lock(&self.state);
         state.suspect_before = state.suspect_before.max(Some(sent_at));
     }
--- a/crates/linkhold-gateway/src/request/conversation.rs
+++ b/crates/linkhold-gateway/src/request/conversation.rs
@@ -41,7 +41,7 @@
     drop(in_flight);
     match exchanged {
         None => {
-            lease.suspect_elders(sent_at.into());
+            lease.suspect_used_before(sent_at.into());
             gateway.instance_silent(&instance, sent_at);
             Conversation::Silent
         }
