--- a/crates/linkhold-gateway/src/pool/lease.rs
+++ b/crates/linkhold-gateway/src/pool/lease.rs
@@ -8,7 +8,7 @@
 use linkhold_core::tenancy::ConnectionHolder;
 use tokio::time::Instant;
 
-use super::{Pool, Pooled};
+use super::{Pool, PooledConnection};
 use crate::gate::Gate;
 use crate::ports::{BackendConnection, Command};
 
@@ -19,11 +19,11 @@
 /// A connection in use. Dropped without [`Lease::release`], it is closed.
 pub struct Lease<C: BackendConnection> {
     pool: Arc<Pool<C>>,
-    pooled: Option<Pooled<C>>,
+    pooled: Option<PooledConnection<C>>,
 }
 
 impl<C: BackendConnection> Lease<C> {
-    pub(super) fn new(pool: Arc<Pool<C>>, pooled: Pooled<C>) -> Self {
+    pub(super) fn new(pool: Arc<Pool<C>>, pooled: PooledConnection<C>) -> Self {
         Self {
             pool,
             pooled: Some(pooled),
@@ -55,14 +55,14 @@
         self.present().opened_at.into_std()
     }
 
-    fn present(&self) -> &Pooled<C> {
+    fn present(&self) -> &PooledConnection<C> {
         self.pooled
             .as_ref()
             .expect("a lease has its connection until it is released")
     }
 
     /// The connection. Present until release or drop.
-    pub fn pooled(&mut self) -> &mut Pooled<C> {
+    pub fn pooled(&mut self) -> &mut PooledConnection<C> {
         self.pooled
             .as_mut()
             .expect("a lease has its connection until it is released")
--- a/crates/linkhold-gateway/src/pool/mod.rs
+++ b/crates/linkhold-gateway/src/pool/mod.rs
@@ -37,7 +37,7 @@
 
 pub use lease::Lease;
 pub(crate) use opener::{Connected, LONGEST_REUSE, Opener};
-pub use pooled::Pooled;
+pub use pooled::PooledConnection;
 use pooled::Relayed;
 
 /// How long opening a connection may take.
@@ -59,7 +59,7 @@
 
 /// What a waiter gets.
 enum Grant<C> {
-    Connection(Box<Pooled<C>>),
+    Connection(Box<PooledConnection<C>>),
     /// A place for a new connection, which the waiter has opened.
     Place,
     /// A connection that was being opened could not be made.
@@ -80,7 +80,7 @@
 
 struct PoolState<C> {
     /// In the order in which they were given back.
-    idle: Vec<Pooled<C>>,
+    idle: Vec<PooledConnection<C>>,
     open: usize,
     waiters: BTreeMap<WaiterKey, Waiter<C>>,
     next_waiter: u64,
@@ -90,7 +90,7 @@
 
 impl<C> PoolState<C> {
     /// Whether a connection was used last before one that fell silent was asked.
-    fn is_suspect(&self, pooled: &Pooled<C>) -> bool {
+    fn is_suspect(&self, pooled: &PooledConnection<C>) -> bool {
         self.suspect_before
             .is_some_and(|moment| pooled.given_back_at < moment)
     }
@@ -141,7 +141,7 @@
     }
 
     /// The first waiter for whom a connection is.
-    fn first_waiter_for(&self, pooled: &Pooled<C>) -> Option<WaiterKey> {
+    fn first_waiter_for(&self, pooled: &PooledConnection<C>) -> Option<WaiterKey> {
         let mut waiters = self.waiters.iter();
         let found = waiters.find(|(_, waiter)| pooled.suits(&waiter.holder, &waiter.regions));
         found.map(|(key, _)| *key)
@@ -237,7 +237,7 @@
         key
     }
 
-    fn take_idle(&self, principal: Principal<'_>) -> Option<Pooled<C>> {
+    fn take_idle(&self, principal: Principal<'_>) -> Option<PooledConnection<C>> {
         let mut state = lock(&self.state);
         loop {
             let index = best_idle(&state.idle, principal)?;
@@ -260,7 +260,7 @@
         state.suspect_before = state.suspect_before.max(Some(sent_at));
     }
 
-    fn is_suspect(&self, pooled: &Pooled<C>) -> bool {
+    fn is_suspect(&self, pooled: &PooledConnection<C>) -> bool {
         lock(&self.state).is_suspect(pooled)
     }
 
@@ -292,7 +292,7 @@
                     region,
                     reuse_until: Instant::now() + LONGEST_REUSE,
                 });
-                self.put_back(Pooled {
+                self.put_back(PooledConnection {
                     connection: connected.connection,
                     holder,
                     relayed,
@@ -332,7 +332,7 @@
         state.offer_places(self.limit());
     }
 
-    fn put_back(&self, mut pooled: Pooled<C>) {
+    fn put_back(&self, mut pooled: PooledConnection<C>) {
         pooled.given_back_at = Instant::now();
         let mut state = lock(&self.state);
         let limit = self.limit();
@@ -450,8 +450,8 @@
 
 /// The connection for a principal that was given back last, preferably one that
 /// has its values.
-fn best_idle<C>(idle: &[Pooled<C>], principal: Principal<'_>) -> Option<usize> {
-    let suits = |pooled: &Pooled<C>| pooled.suits(principal.holder, principal.regions);
+fn best_idle<C>(idle: &[PooledConnection<C>], principal: Principal<'_>) -> Option<usize> {
+    let suits = |pooled: &PooledConnection<C>| pooled.suits(principal.holder, principal.regions);
     idle.iter()
         .rposition(|pooled| suits(pooled) && pooled.state.values == *principal.values)
         .or_else(|| idle.iter().rposition(suits))
--- a/crates/linkhold-gateway/src/pool/pooled.rs
+++ b/crates/linkhold-gateway/src/pool/pooled.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// A connection and what it was told.
-pub struct Pooled<C> {
+pub struct PooledConnection<C> {
     /// The connection.
     pub connection: C,
     /// Whose statements it carries.
@@ -32,7 +32,7 @@
     pub reuse_until: Instant,
 }
 
-impl<C> Pooled<C> {
+impl<C> PooledConnection<C> {
     /// Whether it may be used again.
     pub(super) fn may_be_reused(&self) -> bool {
         let relayed = self.relayed.as_ref();
--- a/crates/linkhold-gateway/src/request/batch.rs
+++ b/crates/linkhold-gateway/src/request/batch.rs
@@ -11,7 +11,7 @@
 use linkhold_core::position::Position;
 use linkhold_core::service::session::{Access, Prepared, SessionValues};
 
-use crate::pool::Pooled;
+use crate::pool::PooledConnection;
 use crate::ports::Command;
 
 /// Prepared statements kept on a connection; beyond it, all are dropped.
@@ -97,7 +97,7 @@
 
 /// Builds the batch and records what the connection will have been told.
 pub(crate) fn build<C>(
-    pooled: &mut Pooled<C>,
+    pooled: &mut PooledConnection<C>,
     values: &SessionValues,
     work: &Work,
     frame: Frame,
@@ -135,7 +135,7 @@
     batch
 }
 
-fn adopt_values<C>(pooled: &mut Pooled<C>, values: &SessionValues, commands: &mut Vec<Command>) {
+fn adopt_values<C>(pooled: &mut PooledConnection<C>, values: &SessionValues, commands: &mut Vec<Command>) {
     let changes = pooled.state.adopt_values(values);
     if changes.discard {
         commands.push(Command::Discard);
@@ -146,7 +146,7 @@
 }
 
 fn adopt_prepared<C>(
-    pooled: &mut Pooled<C>,
+    pooled: &mut PooledConnection<C>,
     work: &Work,
     commands: &mut Vec<Command>,
 ) -> Option<usize> {
@@ -180,6 +180,6 @@
 }
 
 /// Whether a connection has so much prepared that it is better closed.
-pub(crate) fn is_worn<C>(pooled: &Pooled<C>) -> bool {
+pub(crate) fn is_worn<C>(pooled: &PooledConnection<C>) -> bool {
     pooled.state.prepared.len() > MOST_PREPARED
 }
