--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -145,7 +145,7 @@
 }
 
 /// Runs a statement in the transaction of a lent connection.
-pub(crate) async fn run_on<P: Platform>(
+pub(crate) async fn run_in_transaction<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     mut lent: LentConnection,
     principal: Principal<'_>,
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -186,7 +186,7 @@
             let _pass = lease.gate().enter_at_once();
             run_on_own(gateway, lease, principal, work, frame, answer_by).await
         }
-        Held::Lent(lent) => forward::run_on(gateway, lent, principal, work, answer_by).await,
+        Held::Lent(lent) => forward::run_in_transaction(gateway, lent, principal, work, answer_by).await,
     };
     acknowledged(gateway, &instance, work, frame, attempt)
 }
