--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -98,7 +98,7 @@
     }
 
     /// Takes in a new number of nodes.
-    pub fn set_nodes(&self, nodes: usize, beliefs: &Beliefs) {
+    pub fn set_node_count(&self, nodes: usize, beliefs: &Beliefs) {
         self.nodes.store(nodes, Ordering::Relaxed);
         self.refresh_shares(beliefs);
     }
