--- a/crates/linkhold-gateway/src/evidence/probe.rs
+++ b/crates/linkhold-gateway/src/evidence/probe.rs
@@ -82,7 +82,7 @@
     gateway
         .beliefs
         .primary(service)
-        .and_then(|primary| gateway.pools.owners_of(&primary, &gateway.beliefs))
+        .and_then(|primary| gateway.pools.designated_owners(&primary, &gateway.beliefs))
         .is_some_and(|owners| owners.includes_self)
 }
 
@@ -97,7 +97,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
         return;
     };
-    if let Some(owners) = gateway.pools.owners_of(&primary, &gateway.beliefs)
+    if let Some(owners) = gateway.pools.designated_owners(&primary, &gateway.beliefs)
         && !owners.includes_self
         && let Some(sample) = forward::ask_evidence(gateway, &owners, &primary, moment).await
     {
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -59,7 +59,7 @@
 /// own.
 fn is_recorder<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> bool {
     let primary = gateway.beliefs.primary(service);
-    let owners = primary.and_then(|it| gateway.pools.owners_of(&it, &gateway.beliefs));
+    let owners = primary.and_then(|it| gateway.pools.designated_owners(&it, &gateway.beliefs));
     match owners {
         Some(owners) => owners.rank() == Some(0),
         None => gateway.fleet.rank(&gateway.settings.node, service) == 0,
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -244,7 +244,7 @@
 /// Whether this node takes statements for an instance: as an owner, or since all
 /// nodes hold connections.
 fn owns<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
-    let owners = gateway.pools.owners_of(instance, &gateway.beliefs);
+    let owners = gateway.pools.designated_owners(instance, &gateway.beliefs);
     owners.is_none_or(|owners| owners.includes_self)
 }
 
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -60,7 +60,7 @@
 
     /// Who owns the connections to an instance; `None` if all nodes hold some: they
     /// are enough, and cold instances may get anything.
-    pub(crate) fn owners_of(
+    pub(crate) fn designated_owners(
         &self,
         instance: &Instance,
         beliefs: &Beliefs,
@@ -85,7 +85,7 @@
     fn share(&self, instance: &Instance, beliefs: &Beliefs) -> Share {
         let most = most_connections(beliefs.limits(&instance.service));
         let nodes = self.nodes.load(Ordering::Relaxed);
-        let Some(owners) = self.owners_of(instance, beliefs) else {
+        let Some(owners) = self.designated_owners(instance, beliefs) else {
             let has_just_started = self.started.elapsed() < LAST_LIFE;
             return connection_share::equal(most, nodes, has_just_started);
         };
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -91,7 +91,7 @@
     gateway
         .beliefs
         .observe(&instance.id, |health| health.begin_trial(now));
-    if let Some(owners) = gateway.pools.owners_of(instance, &gateway.beliefs) {
+    if let Some(owners) = gateway.pools.designated_owners(instance, &gateway.beliefs) {
         let asked = if gateway.beliefs.is_cold(&instance.id) {
             owners.permitted_spenders(&principal)
         } else {
