--- a/crates/linkhold-gateway/src/owners.rs
+++ b/crates/linkhold-gateway/src/owners.rs
@@ -28,7 +28,7 @@
     members: Vec<Owner>,
     /// The first of them in the order that all nodes share: they alone send to the
     /// instance while it is cold.
-    spenders: Vec<Owner>,
+    senders: Vec<Owner>,
     /// This node's place in that order.
     rank: Option<usize>,
 }
@@ -78,9 +78,9 @@
     }
 
     /// As [`InstanceOwners::permitted`], for an instance that is cold.
-    pub fn permitted_spenders(&self, principal: &Principal<'_>) -> PermittedOwners {
-        let spenders = self.spenders.iter();
-        let permitted = spenders.filter(|it| it.may_serve(principal));
+    pub fn permitted_senders(&self, principal: &Principal<'_>) -> PermittedOwners {
+        let senders = self.senders.iter();
+        let permitted = senders.filter(|it| it.may_serve(principal));
         PermittedOwners(permitted.map_while(|owner| owner.address).collect())
     }
 
@@ -204,7 +204,7 @@
             count: chosen.len(),
             includes_self: chosen.contains(&self.own),
             members: order.iter().filter_map(owner).collect(),
-            spenders: chosen
+            senders: chosen
                 .iter()
                 .take(warm_up::SPENDERS)
                 .filter_map(owner)
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -93,7 +93,7 @@
         .observe(&instance.id, |health| health.begin_trial(now));
     if let Some(owners) = gateway.pools.designated_owners(instance, &gateway.beliefs) {
         let asked = if gateway.beliefs.is_cold(&instance.id) {
-            owners.permitted_spenders(&principal)
+            owners.permitted_senders(&principal)
         } else {
             owners.permitted(&principal)
         };
