--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -130,7 +130,7 @@
     frame: Frame,
     bounds: Bounds,
 ) -> Attempt<P> {
-    if gateway.relays.bars(&instance.id, principal.regions) {
+    if gateway.relays.has_no_permitted_peer(&instance.id, principal.regions) {
         return Attempt::NotRun(NotRunCause::Unreachable);
     }
     if speaks_for_primary(gateway, instance, work, frame)
--- a/crates/linkhold-gateway/src/state/relays.rs
+++ b/crates/linkhold-gateway/src/state/relays.rs
@@ -94,7 +94,7 @@
 
     /// Whether an instance is reached through peers of which none may see a request
     /// of these regions.
-    pub fn bars(&self, id: &InstanceId, regions: &AllowedRegions) -> bool {
+    pub fn has_no_permitted_peer(&self, id: &InstanceId, regions: &AllowedRegions) -> bool {
         self.is_relayed(id) && self.peer(id, regions).is_none()
     }
 
