--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -108,7 +108,7 @@
     let instance_region = places.region(&primary.zone);
     gateway
         .relays
-        .learn(&primary.id, &instance_region, relay_peers);
+        .set_peers(&primary.id, &instance_region, relay_peers);
     gateway.instance_answered(&primary.id, Duration::ZERO, None);
 }
 
--- a/crates/linkhold-gateway/src/state/relays.rs
+++ b/crates/linkhold-gateway/src/state/relays.rs
@@ -48,7 +48,7 @@
     /// Peers reach an instance that this node does not.
     /// Those of the instance's own region come first, since every request that may
     /// run there may pass through them.
-    pub fn learn(&self, id: &InstanceId, instance_region: &str, mut peers: Vec<RelayPeer>) {
+    pub fn set_peers(&self, id: &InstanceId, instance_region: &str, mut peers: Vec<RelayPeer>) {
         peers.sort_by_key(|peer| &*peer.region != instance_region);
         peers.truncate(MOST_PEERS);
         let now = Instant::now();
