--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -73,7 +73,7 @@
     let lent = Arc::new(Lent {
         slots: Mutex::new(Some(HashMap::new())),
         outbox,
-        count: gateway.forwarding.lent.clone(),
+        count: gateway.forwarding.lent_connections.clone(),
     });
     let mut reading = BufReader::new(reading);
     let listen = async {
--- a/crates/linkhold-gateway/src/lifecycle.rs
+++ b/crates/linkhold-gateway/src/lifecycle.rs
@@ -65,7 +65,7 @@
         } else if now >= started + ROUTING_DELAY {
             stage.send_replace(Stage::Refusing);
         }
-        let served = gateway.relays.serving() + gateway.forwarding.lent();
+        let served = gateway.relays.relayed_connections() + gateway.forwarding.lent_connections();
         if refused_before && gateway.metrics.sessions_open() == 0 && served == 0 {
             break;
         }
--- a/crates/linkhold-gateway/src/state/forwarding.rs
+++ b/crates/linkhold-gateway/src/state/forwarding.rs
@@ -20,7 +20,7 @@
     links: Mutex<HashMap<SocketAddr, Arc<Link>>>,
     passed_over_until: Mutex<HashMap<SocketAddr, Instant>>,
     /// Connections lent to other nodes.
-    pub lent: Arc<AtomicUsize>,
+    pub lent_connections: Arc<AtomicUsize>,
 }
 
 impl Forwarding {
@@ -38,8 +38,8 @@
     }
 
     /// Connections that are lent to other nodes for their transactions.
-    pub fn lent(&self) -> usize {
-        self.lent.load(Ordering::Relaxed)
+    pub fn lent_connections(&self) -> usize {
+        self.lent_connections.load(Ordering::Relaxed)
     }
 
     /// An owner could not be reached, or kept silent.
--- a/crates/linkhold-gateway/src/state/relays.rs
+++ b/crates/linkhold-gateway/src/state/relays.rs
@@ -78,7 +78,7 @@
     }
 
     /// Connections that are relayed for other nodes.
-    pub fn serving(&self) -> usize {
+    pub fn relayed_connections(&self) -> usize {
         self.serving.load(Ordering::Relaxed)
     }
 
