--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -65,7 +65,7 @@
                 busy.remove(&service);
             }
         }
-        relay::try_direct_ways(&gateway);
+        relay::try_direct_connections(&gateway);
         let mut services = gateway.attention.take();
         services.extend(services_with_leaving_primary(&gateway));
         services.extend(misplaced.due(&gateway));
--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -182,7 +182,7 @@
 }
 
 /// Tries the direct way to instances whose connections are relayed.
-pub(crate) fn try_direct_ways<P: Platform>(gateway: &Arc<Gateway<P>>) {
+pub(crate) fn try_direct_connections<P: Platform>(gateway: &Arc<Gateway<P>>) {
     for id in gateway.relays.due_for_direct_trial() {
         let Some(instance) = gateway.beliefs.instance(&id) else {
             continue;
