--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -185,7 +185,7 @@
         self.beliefs
             .observe(&instance.id, |health| health.failed(now));
         self.pools.close_idle(&instance.id);
-        self.warm_ups.doubted(&instance.id);
+        self.warm_ups.suspect_restart(&instance.id);
         self.metrics.instance_failures.add();
         if !was_failing {
             Event::warn("instance_failed")
@@ -289,7 +289,7 @@
             ("connections_opened_total", self.pools.opened() as u64),
             ("sessions_open", self.metrics.sessions_open()),
             ("zones_evacuated", self.beliefs.evacuations().0.len() as u64),
-            ("instances_held_off", self.warm_ups.count_cold() as u64),
+            ("instances_held_off", self.warm_ups.count_held_off() as u64),
             ("store_era", u64::from(self.store_era.known().0)),
             ("entries_unusable_total", self.platform.unusable_entries()),
         ];
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -27,7 +27,7 @@
     /// A connection broke. Its instance may still be well; the next attempt to
     /// connect tells. A primary is looked at right away.
     pub(crate) fn connection_lost(&self, instance: &Instance) {
-        self.warm_ups.doubted(&instance.id);
+        self.warm_ups.suspect_restart(&instance.id);
         let is_primary = self
             .beliefs
             .primary(&instance.service)
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -90,7 +90,7 @@
     }
 
     /// Another connection to an instance broke, or could not be made.
-    pub fn doubted(&self, id: &InstanceId) {
+    pub fn suspect_restart(&self, id: &InstanceId) {
         let mut instances = lock(&self.instances);
         if let Some(known) = instances.get_mut(id)
             && known.warmth.doubted(Instant::now())
@@ -100,7 +100,7 @@
     }
 
     /// Instances that this node has sent to and that were not known warm then.
-    pub fn count_cold(&self) -> usize {
+    pub fn count_held_off(&self) -> usize {
         let instances = lock(&self.instances);
         instances.values().filter(|it| it.is_held_off).count()
     }
