--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -268,7 +268,7 @@
     };
     let opened_at = lease.opened_at();
     gateway
-        .wait_for_warm_up(lease.instance(), opened_at, answer_by)
+        .wait_for_warm_up_allowance(lease.instance(), opened_at, answer_by)
         .await;
     let _pass = lease.gate().enter_at_once();
     let attempt = attempt::run_on_own(gateway, lease, principal, &work, frame, answer_by).await;
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -68,5 +68,5 @@
     tokio::spawn(failover::watch_primaries(gateway.clone()));
     tokio::spawn(failover::hold_leases_ready(gateway.clone()));
     tokio::spawn(failover::keep_lead_records(gateway.clone()));
-    tokio::spawn(warm_up::keep_watching(gateway.clone()));
+    tokio::spawn(warm_up::watch_instances(gateway.clone()));
 }
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -181,7 +181,7 @@
         Held::Own(lease) => {
             let opened_at = lease.opened_at();
             gateway
-                .wait_for_warm_up(lease.instance(), opened_at, answer_by)
+                .wait_for_warm_up_allowance(lease.instance(), opened_at, answer_by)
                 .await;
             let _pass = lease.gate().enter_at_once();
             run_on_own(gateway, lease, principal, work, frame, answer_by).await
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -16,7 +16,7 @@
 use crate::ports::Platform;
 use crate::state::EntryKnown;
 
-pub(crate) use watch::keep_watching;
+pub(crate) use watch::watch_instances;
 
 /// How long a new connection waits for a proof that the instance was not started
 /// again: three times the way between regions, there and back.
@@ -74,7 +74,7 @@
 
     /// Has an instance proved warm for a connection that was opened after the last
     /// proof, if it was warm then.
-    pub(crate) async fn prove_warm(&self, instance: &Instance, opened_at: Instant) {
+    pub(crate) async fn wait_for_warm_proof(&self, instance: &Instance, opened_at: Instant) {
         if self.warm_up_limit(instance).is_none() {
             return;
         }
@@ -102,7 +102,7 @@
 
     /// Waits until this node may send one more statement of an open transaction on a
     /// connection, but no longer than `deadline`.
-    pub(crate) async fn wait_for_warm_up(
+    pub(crate) async fn wait_for_warm_up_allowance(
         &self,
         instance: &Instance,
         opened_at: Instant,
--- a/crates/linkhold-gateway/src/warm_up/watch.rs
+++ b/crates/linkhold-gateway/src/warm_up/watch.rs
@@ -32,7 +32,7 @@
 
 /// Watches those instances whose connections this node owns. Runs until the process
 /// ends.
-pub(crate) async fn keep_watching<P: Platform>(gateway: Arc<Gateway<P>>) {
+pub(crate) async fn watch_instances<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut watchers: HashMap<InstanceId, Watcher> = HashMap::new();
     loop {
         sleep(LOOK_INTERVAL).await;
