--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -9,7 +9,7 @@
 use linkhold_core::service::permission::{RecentClaim, Renewed};
 use linkhold_core::service::readers::FOLLOWER_RENEWAL;
 use linkhold_events::Event;
-use linkhold_peer::{FeedMessage, RelativeTimestamp, MAX_FEED_MESSAGE, PeerKey, decode_feed};
+use linkhold_peer::{FeedMessage, MAX_FEED_MESSAGE, PeerKey, RelativeTimestamp, decode_feed};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::readers::shed_probability;
 use linkhold_core::service::store_place::StorePlace;
-use linkhold_peer::{EvidenceQuestion, FeedMessage, RelativeTimestamp, PeerKey};
+use linkhold_peer::{EvidenceQuestion, FeedMessage, PeerKey, RelativeTimestamp};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::watch;
--- a/crates/linkhold-gateway/src/request/attempt/exchange.rs
+++ b/crates/linkhold-gateway/src/request/attempt/exchange.rs
@@ -44,7 +44,9 @@
         };
     }
     let opened_at = lease.opened_at();
-    gateway.wait_for_warm_proof(lease.instance(), opened_at).await;
+    gateway
+        .wait_for_warm_proof(lease.instance(), opened_at)
+        .await;
     // Preparing the connection may have taken its time.
     if let Err(reason) = may_send(gateway, &lease, principal) {
         return ineligible(work, &lease, reason);
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -130,7 +130,10 @@
     frame: Frame,
     bounds: Bounds,
 ) -> Attempt<P> {
-    if gateway.relays.has_no_permitted_peer(&instance.id, principal.regions) {
+    if gateway
+        .relays
+        .has_no_permitted_peer(&instance.id, principal.regions)
+    {
         return Attempt::NotRun(NotRunCause::Unreachable);
     }
     if speaks_for_primary(gateway, instance, work, frame)
@@ -186,7 +189,9 @@
             let _pass = lease.gate().enter_at_once();
             run_on_own(gateway, lease, principal, work, frame, answer_by).await
         }
-        Held::Lent(lent) => forward::run_in_transaction(gateway, lent, principal, work, answer_by).await,
+        Held::Lent(lent) => {
+            forward::run_in_transaction(gateway, lent, principal, work, answer_by).await
+        }
     };
     acknowledged(gateway, &instance, work, frame, attempt)
 }
--- a/crates/linkhold-gateway/src/request/batch.rs
+++ b/crates/linkhold-gateway/src/request/batch.rs
@@ -135,7 +135,11 @@
     batch
 }
 
-fn adopt_values<C>(pooled: &mut PooledConnection<C>, values: &SessionValues, commands: &mut Vec<Command>) {
+fn adopt_values<C>(
+    pooled: &mut PooledConnection<C>,
+    values: &SessionValues,
+    commands: &mut Vec<Command>,
+) {
     let changes = pooled.state.adopt_values(values);
     if changes.discard {
         commands.push(Command::Discard);
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -136,9 +136,10 @@
             known.revision.to_bits(),
             known.zones.iter().map(ToString::to_string).collect(),
         ),
-        FeedMessage::Instances(known) => {
-            WireMessage::Instances(known.revision.to_bits(), instances_to_wire(&known.instances))
-        }
+        FeedMessage::Instances(known) => WireMessage::Instances(
+            known.revision.to_bits(),
+            instances_to_wire(&known.instances),
+        ),
         FeedMessage::InstanceChanges(changes) => WireMessage::InstanceChanges(
             changes.revision.to_bits(),
             instances_to_wire(&changes.changed),
--- a/crates/linkhold-peer/src/lib.rs
+++ b/crates/linkhold-peer/src/lib.rs
@@ -22,7 +22,7 @@
 pub use datagram::{BudgetMessage, Datagram, decode_datagram, encode_budget};
 pub use feed::{
     EvidenceAnswer, EvidenceQuestion, FeedEvacuations, FeedFleet, FeedFleetChanges,
-    FeedInstanceChanges, FeedInstances, FeedMessage, FeedNode, RelativeTimestamp, MAX_FEED_MESSAGE,
+    FeedInstanceChanges, FeedInstances, FeedMessage, FeedNode, MAX_FEED_MESSAGE, RelativeTimestamp,
     decode_feed, encode_feed,
 };
 pub use forward::{
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -14,8 +14,8 @@
 use linkhold_core::tenancy::{Credential, RateLimit, Tenancy, Tenant};
 use linkhold_peer::{
     EvidenceAnswer, EvidenceQuestion, FeedFleet, FeedFleetChanges, FeedInstanceChanges,
-    FeedInstances, FeedMessage, FeedNode, RelativeTimestamp, PeerError, PeerKey, QuestionPurpose,
-    QuestionSubject, Reachability, ReachabilityMessage, decode_feed, decode_reachability,
+    FeedInstances, FeedMessage, FeedNode, PeerError, PeerKey, QuestionPurpose, QuestionSubject,
+    Reachability, ReachabilityMessage, RelativeTimestamp, decode_feed, decode_reachability,
     encode_feed, encode_reachability,
 };
 use proptest::prelude::*;
