--- a/crates/linkhold-gateway/src/forward/link.rs
+++ b/crates/linkhold-gateway/src/forward/link.rs
@@ -1,4 +1,4 @@
-//! A node's stream to an owner, shared by all statements it forwards there.
+//! A node's stream to an owner, shared by all statements that it forwards to it.
 
 use std::collections::HashMap;
 use std::io;
@@ -22,60 +22,61 @@
 
 /// How long connecting to an owner may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// After which time without a word an owner is asked for a sign of life.
+/// Time without a message after which an owner is pinged.
 const PING_AFTER: Duration = Duration::from_millis(150);
-/// After which time without a word an owner counts as lost.
-pub(super) const OWNER_SILENCE: Duration = Duration::from_millis(320);
-/// How long an owner may take to take in what is written.
+/// Time without a message after which an owner counts as lost.
+pub(super) const OWNER_SILENCE_TIMEOUT: Duration = Duration::from_millis(320);
+/// How long writing one message to an owner may take.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Why a call brought no answer.
+/// Why a call returned no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallFailure {
-    /// It was not handed to the stream: it certainly ran nowhere.
+    /// The statement was not handed to the stream: it certainly did not run.
     NotSent,
-    /// The stream broke after it was.
+    /// The stream broke after the statement was handed to it.
     Broken,
     /// No answer came in time.
     NoAnswer,
-    /// The owner gave no sign of life; it may have run.
+    /// The owner sent nothing at all; the statement may have run.
     OwnerSilent,
 }
 
-/// What became of a link.
+/// State of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkState {
-    /// It is open or being opened.
+    /// The stream is open or being opened.
     Usable,
-    /// Its owner gives no sign of life.
+    /// The owner has sent nothing for [`OWNER_SILENCE_TIMEOUT`].
     Silent,
-    /// It broke or could not be opened.
+    /// The stream broke or could not be opened.
     Ended,
 }
 
-/// What is done about an owner that has been silent for a while.
+/// What to do about an owner that has sent nothing for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
-    /// It is asked for a sign of life.
+enum SilenceAction {
+    /// Ping it.
     Ping,
-    /// It is given up by those who can ask another.
-    Judge,
+    /// Mark the link as silent: new statements go to other owners, and calls that
+    /// another owner can repeat give up.
+    MarkSilent,
 }
 
-/// A statement whose answer is waited for.
-struct Waiter {
+/// A statement that awaits its answer.
+struct PendingStatement {
     sender: oneshot::Sender<Result<ForwardOutcome, CallFailure>>,
     was_sent: bool,
 }
 
 struct Shared {
     state: LinkState,
-    statements: HashMap<u64, Waiter>,
+    statements: HashMap<u64, PendingStatement>,
     questions: HashMap<u64, oneshot::Sender<EvidenceAnswer>>,
-    heard_at: Option<Instant>,
+    last_received_at: Option<Instant>,
 }
 
-/// The stream and those who wait for answers on it.
+/// A stream to an owner, and the calls that await answers on it.
 pub(crate) struct Link {
     owner: SocketAddr,
     outbox: mpsc::UnboundedSender<ForwardMessage>,
@@ -83,7 +84,7 @@
 }
 
 impl Link {
-    /// Starts to open a stream; what is asked meanwhile waits for it.
+    /// Starts to open a stream. Messages queue until it is open.
     pub fn open(owner: SocketAddr, key: PeerKey) -> Arc<Self> {
         let (outbox, messages) = mpsc::unbounded_channel();
         let link = Arc::new(Self {
@@ -93,36 +94,39 @@
                 state: LinkState::Usable,
                 statements: HashMap::new(),
                 questions: HashMap::new(),
-                heard_at: None,
+                last_received_at: None,
             }),
         });
-        tokio::spawn(keep(link.clone(), key, messages));
+        tokio::spawn(run_link(link.clone(), key, messages));
         link
     }
 
-    /// The owner at its other end.
+    /// Address of the owner.
     pub fn owner(&self) -> SocketAddr {
         self.owner
     }
 
-    /// Whether it can be used.
+    /// State of the link.
     pub fn state(&self) -> LinkState {
         lock(&self.shared).state
     }
 
-    /// Whether nothing has been heard of the owner since a moment.
+    /// Whether nothing has been received from the owner since `moment`.
     pub fn is_silent_since(&self, moment: Instant) -> bool {
-        lock(&self.shared).heard_at.is_none_or(|at| at < moment)
+        lock(&self.shared)
+            .last_received_at
+            .is_none_or(|at| at < moment)
     }
 
-    /// Tells the owner something that has no answer.
-    pub fn tell(&self, message: ForwardMessage) {
-        // An owner that is lost has let go of everything.
+    /// Queues a message without waiting for an answer.
+    pub fn send(&self, message: ForwardMessage) {
+        // An owner whose stream has ended has released everything it held.
         let _ = self.outbox.send(message);
     }
 
-    /// Has a statement run; waits until `answer_by`, or until the owner has been
-    /// silent for [`OWNER_SILENCE`] if `gives_up_silent`.
+    /// Has the owner run a statement. Waits for the answer until `answer_by` or, if
+    /// `gives_up_silent`, until the owner has been silent for
+    /// [`OWNER_SILENCE_TIMEOUT`].
     pub async fn call(
         &self,
         statement: ForwardStatement,
@@ -132,18 +136,21 @@
         let number = statement.number;
         let sent_at = Instant::now();
         let mut receiver = self.register(number)?;
-        self.tell(ForwardMessage::Run(statement));
+        self.send(ForwardMessage::Run(statement));
         let mut is_silent = false;
-        for (after, step) in [(PING_AFTER, Step::Ping), (OWNER_SILENCE, Step::Judge)] {
-            let look_at = answer_by.min(sent_at + after);
-            if let Ok(answer) = timeout_at(look_at.into(), &mut receiver).await {
+        for (after, action) in [
+            (PING_AFTER, SilenceAction::Ping),
+            (OWNER_SILENCE_TIMEOUT, SilenceAction::MarkSilent),
+        ] {
+            let check_at = answer_by.min(sent_at + after);
+            if let Ok(answer) = timeout_at(check_at.into(), &mut receiver).await {
                 return answer.unwrap_or(Err(CallFailure::Broken));
             }
             is_silent = self.is_silent_since(sent_at);
-            match step {
-                Step::Ping if is_silent => self.tell(ForwardMessage::Ping),
-                Step::Judge if is_silent => self.suspect(),
-                Step::Ping | Step::Judge => {}
+            match action {
+                SilenceAction::Ping if is_silent => self.send(ForwardMessage::Ping),
+                SilenceAction::MarkSilent if is_silent => self.mark_silent(),
+                SilenceAction::Ping | SilenceAction::MarkSilent => {}
             }
         }
         if is_silent && (gives_up_silent || Instant::now() >= answer_by) {
@@ -158,11 +165,11 @@
         }
     }
 
-    /// A statement's answer is no longer waited for. One that was not sent yet
-    /// is not sent any more.
+    /// Stops waiting for a statement's answer. A statement that was not sent yet
+    /// will not be sent; the result is then [`CallFailure::NotSent`].
     fn give_up(&self, number: u64, failure: CallFailure) -> CallFailure {
         match lock(&self.shared).statements.remove(&number) {
-            Some(waiter) if !waiter.was_sent => CallFailure::NotSent,
+            Some(pending) if !pending.was_sent => CallFailure::NotSent,
             _ => failure,
         }
     }
@@ -176,15 +183,16 @@
         if shared.state == LinkState::Ended {
             return Err(CallFailure::NotSent);
         }
-        let waiter = Waiter {
+        let pending = PendingStatement {
             sender,
             was_sent: false,
         };
-        shared.statements.insert(number, waiter);
+        shared.statements.insert(number, pending);
         Ok(receiver)
     }
 
-    /// Asks for evidence.
+    /// Asks the owner for evidence of the primary's log position that is at most
+    /// `max_age` old; `None` if no answer comes in time.
     pub async fn ask_evidence(
         &self,
         primary: &Instance,
@@ -194,7 +202,7 @@
         let number = rand::random();
         let (sender, receiver) = oneshot::channel();
         lock(&self.shared).questions.insert(number, sender);
-        self.tell(ForwardMessage::EvidenceQuestion {
+        self.send(ForwardMessage::EvidenceQuestion {
             number,
             service: primary.service.to_string(),
             max_age_ms: milliseconds(max_age),
@@ -205,37 +213,37 @@
         answer.ok()?.ok()
     }
 
-    /// Whether a message is to be sent: a statement that nobody waits for any
-    /// more is not. One that is sent counts as sent from before it is.
-    fn begin_sending(&self, message: &ForwardMessage) -> bool {
+    /// Whether a message is still to be sent: a statement that was given up is not.
+    /// Marks a statement as sent before it is written.
+    fn mark_sent(&self, message: &ForwardMessage) -> bool {
         let ForwardMessage::Run(statement) = message else {
             return true;
         };
         match lock(&self.shared).statements.get_mut(&statement.number) {
-            Some(waiter) => {
-                waiter.was_sent = true;
+            Some(pending) => {
+                pending.was_sent = true;
                 true
             }
             None => false,
         }
     }
 
-    fn suspect(&self) {
+    fn mark_silent(&self) {
         let mut shared = lock(&self.shared);
         if shared.state == LinkState::Usable {
             shared.state = LinkState::Silent;
         }
     }
 
-    fn heard(&self, message: ForwardMessage) {
+    fn handle_message(&self, message: ForwardMessage) {
         let mut shared = lock(&self.shared);
-        shared.heard_at = Some(Instant::now());
+        shared.last_received_at = Some(Instant::now());
         shared.state = LinkState::Usable;
         match message {
             ForwardMessage::Ended { number, outcome } => {
-                if let Some(waiter) = shared.statements.remove(&number) {
-                    // Whoever waited may have left.
-                    let _ = waiter.sender.send(Ok(outcome));
+                if let Some(pending) = shared.statements.remove(&number) {
+                    // The caller may have stopped waiting.
+                    let _ = pending.sender.send(Ok(outcome));
                 }
             }
             ForwardMessage::EvidenceAnswer {
@@ -251,7 +259,7 @@
                     });
                 }
             }
-            // Nothing else comes from an owner.
+            // An owner sends no other messages that need handling.
             ForwardMessage::Run(_)
             | ForwardMessage::Release { .. }
             | ForwardMessage::EvidenceQuestion { .. }
@@ -260,62 +268,62 @@
         }
     }
 
-    fn end(&self) {
+    fn close(&self) {
         let mut shared = lock(&self.shared);
         shared.state = LinkState::Ended;
         shared.questions.clear();
-        for (_, waiter) in shared.statements.drain() {
-            let failure = if waiter.was_sent {
+        for (_, pending) in shared.statements.drain() {
+            let failure = if pending.was_sent {
                 CallFailure::Broken
             } else {
                 CallFailure::NotSent
             };
-            // Whoever waited may have left.
-            let _ = waiter.sender.send(Err(failure));
+            // The caller may have stopped waiting.
+            let _ = pending.sender.send(Err(failure));
         }
     }
 }
 
 /// Opens the stream and serves it until it breaks or is no longer used.
-async fn keep(
+async fn run_link(
     link: Arc<Link>,
     key: PeerKey,
     mut messages: mpsc::UnboundedReceiver<ForwardMessage>,
 ) {
-    // Whatever ended it, those who wait are told.
-    let _ = converse(&link, &key, &mut messages).await;
-    link.end();
+    // Pending calls fail, whatever ended the stream.
+    let _ = exchange_messages(&link, &key, &mut messages).await;
+    link.close();
 }
 
-async fn converse(
+async fn exchange_messages(
     link: &Link,
     key: &PeerKey,
     messages: &mut mpsc::UnboundedReceiver<ForwardMessage>,
 ) -> io::Result<()> {
     let mut stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(link.owner)).await??;
-    // A socket that refuses it still works, only later.
+    // A socket that refuses the option still works, with more latency.
     let _ = stream.set_nodelay(true);
     write_message(&mut stream, &FeedMessage::Forward, key).await?;
-    let (reading, mut writing) = stream.into_split();
-    let mut reading = BufReader::new(reading);
-    let listen = async {
+    let (read_half, mut write_half) = stream.into_split();
+    let mut read_half = BufReader::new(read_half);
+    let receive = async {
         loop {
-            let message = read_forward(&mut reading, key).await?;
-            link.heard(message);
+            let message = read_forward(&mut read_half, key).await?;
+            link.handle_message(message);
         }
     };
-    let speak = async {
+    let send_all = async {
         while let Some(message) = messages.recv().await {
-            if link.begin_sending(&message) {
+            if link.mark_sent(&message) {
                 let frame = framed(&encode_forward(&message, key));
-                timeout(WRITE_TIMEOUT, writing.write_all(&frame)).await??;
+                timeout(WRITE_TIMEOUT, write_half.write_all(&frame)).await??;
             }
         }
         Ok(())
     };
     tokio::select! {
-        ended = listen => ended,
-        ended = speak => ended,
+        ended = receive => ended,
+        ended = send_all => ended,
     }
 }
 
--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -1,24 +1,23 @@
-//! Statements that owners of connections run for other nodes.
+//! Forwarding of statements to the owners of connections.
 //!
 //! Where few nodes own the connections to an instance
-//! ([`linkhold_core::service::owners`]), a node that is none of them has an
-//! owner make the whole try: take a connection, bring it to the session's state,
-//! run the statement. The owner runs the same code ([`crate::request::attempt`]) as for
-//! its own callers and tells how the try ended; what is tried again, and what a
-//! caller is told, is decided by the node that the caller is connected to.
+//! ([`linkhold_core::service::owners`]), every other node has an owner make the whole
+//! attempt: take a connection, apply the session's state to it, run the statement. The
+//! owner runs the same code ([`crate::request::attempt`]) as for its own callers and
+//! reports how the attempt ended. The node that the caller is connected to decides what
+//! is retried and what the caller is answered.
 //!
 //! # Invariants
 //!
-//! * An owner runs a statement at most once and tries nothing again. Another
-//!   owner is asked only if the statement ran nowhere, reads, or opens a
-//!   transaction, which the lost owner can never commit.
-//! * What was handed to a stream that broke before an answer came is taken to
-//!   have been sent to the instance; what was not handed over yet certainly ran
-//!   nowhere.
-//! * A lent connection serves the transaction that opened it alone. It goes back
-//!   when the transaction has ended, the asking node gives it up, its stream
-//!   ends, or nothing is asked for longer than a transaction may rest.
-//! * Time limits are handed on as what is left of them, so clocks need not agree.
+//! * An owner runs a statement at most once and retries nothing. Another owner is asked
+//!   only if the statement did not run, reads, or opens a transaction, which the lost
+//!   owner can never commit.
+//! * A statement that was handed to a stream which broke before an answer came counts
+//!   as sent to the instance; one that was not handed over yet certainly did not run.
+//! * A lent connection serves only the transaction that opened it. It is given back
+//!   when the transaction has ended, the asking node releases it, its stream ends, or
+//!   no statement comes for longer than a transaction may be idle.
+//! * Time limits are passed on as the time that is left, so clocks need not agree.
 
 pub(crate) mod link;
 mod owner;
@@ -45,37 +44,37 @@
 use link::{CallFailure, Link};
 pub(crate) use owner::serve;
 
-/// How long an owner may take to tell evidence.
+/// How long an owner may take to answer a question for evidence.
 const EVIDENCE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A connection that an owner holds for a transaction of this node.
 pub(crate) struct LentConnection {
     link: Arc<Link>,
-    /// Number of the statement that opened the transaction; `None` once it is
-    /// given back.
+    /// Number of the statement that opened the transaction; `None` once the
+    /// connection is given back.
     number: Option<u64>,
     instance: Arc<Instance>,
 }
 
 impl LentConnection {
-    /// The instance it leads to.
+    /// The instance it is connected to.
     pub fn instance(&self) -> &Arc<Instance> {
         &self.instance
     }
 
-    /// The node that holds it.
+    /// Address of the node that holds it.
     pub fn owner(&self) -> SocketAddr {
         self.link.owner()
     }
 
-    /// Gives it back; what is open on it is rolled back.
+    /// Gives the connection back; its open transaction is rolled back.
     pub fn release(mut self) {
         self.give_back(false);
     }
 
     fn give_back(&mut self, close: bool) {
         if let Some(number) = self.number.take() {
-            self.link.tell(ForwardMessage::Release { number, close });
+            self.link.send(ForwardMessage::Release { number, close });
         }
     }
 }
@@ -87,7 +86,7 @@
 }
 
 /// Has one of `owners` run a statement that stands alone or opens a transaction;
-/// `None` if no owner takes it, in which case nothing of it ran.
+/// `None` if no owner takes it, in which case it did not run.
 pub(crate) async fn run<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     owners: &PermittedOwners,
@@ -97,21 +96,21 @@
     frame: Frame,
     bounds: Bounds,
 ) -> Option<Attempt<P>> {
-    let mut left: Vec<SocketAddr> = owners.addresses().to_vec();
-    let mut held_off: Option<Duration> = None;
+    let mut candidates: Vec<SocketAddr> = owners.addresses().to_vec();
+    let mut retry_after: Option<Duration> = None;
     loop {
         if Instant::now() >= bounds.answer_by {
             return Some(Attempt::NotRun(NotRunCause::NoConnection));
         }
-        let Some(owner) = gateway.forwarding.choose(&left) else {
-            // None of those who may send to it has room for now.
-            let cause = NotRunCause::WarmingUp(held_off?);
+        let Some(owner) = gateway.forwarding.choose(&candidates) else {
+            // Every owner that may send to the cold instance has used up its allowance.
+            let cause = NotRunCause::WarmingUp(retry_after?);
             return Some(Attempt::NotRun(cause));
         };
         let link = gateway.forwarding.link(owner, gateway.fleet.key()?);
         let statement = ForwardStatement {
             number: rand::random(),
-            lent: None,
+            transaction: None,
             instance: instance.id.0.to_string(),
             values: translate::values(principal.values),
             work: translate::work(work),
@@ -130,21 +129,21 @@
             instance,
             work,
         };
-        // Nothing of these can be kept by an owner that is lost.
-        let repeatable = work.access() == Access::Read || matches!(frame, Frame::Opening { .. });
-        match call.run(statement, bounds.answer_by, repeatable).await {
-            // Another owner may know that the instance is warm, or have room.
-            Ended::Attempt(Attempt::NotRun(NotRunCause::WarmingUp(after))) => {
-                held_off = Some(held_off.map_or(after, |least| least.min(after)));
-                left.retain(|other| *other != owner);
+        // A lost owner cannot make a read or an open transaction take effect.
+        let is_repeatable = work.access() == Access::Read || matches!(frame, Frame::Opening { .. });
+        match call.run(statement, bounds.answer_by, is_repeatable).await {
+            // Another owner may know that the instance is warm, or have allowance left.
+            CallEnd::Attempt(Attempt::NotRun(NotRunCause::WarmingUp(after))) => {
+                retry_after = Some(retry_after.map_or(after, |earliest| earliest.min(after)));
+                candidates.retain(|other| *other != owner);
             }
-            Ended::Attempt(attempt) => return Some(attempt),
-            Ended::NotTaken(why) => gateway.forwarding.pass_over(owner, why),
+            CallEnd::Attempt(attempt) => return Some(attempt),
+            CallEnd::NotTaken(why) => gateway.forwarding.suspend(owner, why),
         }
     }
 }
 
-/// Runs a statement in the transaction of a lent connection.
+/// Runs a statement in the open transaction of a lent connection.
 pub(crate) async fn run_in_transaction<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     mut lent: LentConnection,
@@ -155,7 +154,7 @@
     let opened_by = lent.number.take();
     let statement = ForwardStatement {
         number: rand::random(),
-        lent: opened_by,
+        transaction: opened_by,
         instance: lent.instance.id.0.to_string(),
         values: translate::values(principal.values),
         work: translate::work(work),
@@ -164,7 +163,7 @@
         priority: 0,
         connection_within_ms: 0,
         answer_within_ms: milliseconds_until(answer_by),
-        // The lent connection is its tenant's already.
+        // The lent connection already belongs to the tenant.
         tenant: None,
         regions: principal.regions.to_list(),
     };
@@ -175,13 +174,13 @@
         work,
     };
     match call.run(statement, answer_by, false).await {
-        Ended::Attempt(attempt) => attempt,
-        // The owner lost the connection, which undoes what was open on it.
-        Ended::NotTaken(_) => Attempt::NotRun(NotRunCause::Unreachable),
+        CallEnd::Attempt(attempt) => attempt,
+        // The owner lost the connection, which rolls its transaction back.
+        CallEnd::NotTaken(_) => Attempt::NotRun(NotRunCause::Unreachable),
     }
 }
 
-/// One statement with an owner.
+/// A call to an owner for one statement.
 struct Call<'a, P: Platform> {
     gateway: &'a Arc<Gateway<P>>,
     link: &'a Arc<Link>,
@@ -190,54 +189,56 @@
 }
 
 /// How a call ended.
-enum Ended<P: Platform> {
+enum CallEnd<P: Platform> {
     Attempt(Attempt<P>),
-    /// The owner did not take it, or is lost and can keep nothing of it.
+    /// The owner did not take the statement, or is lost and cannot make it take effect.
+    /// Holds the reason that is logged.
     NotTaken(&'static str),
 }
 
 impl<P: Platform> Call<'_, P> {
-    /// Has it run. One that is `repeatable` is given up if the owner is silent.
+    /// Has the owner run the statement. If `is_repeatable`, gives up when the owner is
+    /// silent.
     async fn run(
         &self,
         statement: ForwardStatement,
         answer_by: Instant,
-        repeatable: bool,
-    ) -> Ended<P> {
-        // Whatever becomes of this call, the owner is told to let go of what
-        // it still holds for it.
+        is_repeatable: bool,
+    ) -> CallEnd<P> {
+        // When dropped, has the owner release whatever it still holds for this call.
         let mut lent = LentConnection {
             link: self.link.clone(),
-            number: Some(statement.lent.unwrap_or(statement.number)),
+            number: Some(statement.transaction.unwrap_or(statement.number)),
             instance: self.instance.clone(),
         };
         let sent_at = Instant::now();
         let in_flight = InFlight::start(self.gateway, self.instance);
-        let outcome = self.link.call(statement, answer_by, repeatable).await;
+        let outcome = self.link.call(statement, answer_by, is_repeatable).await;
         drop(in_flight);
         self.log_failure(&outcome, sent_at);
         match outcome {
-            Ok(outcome) => self.judge(outcome, lent, sent_at),
-            // What the owner holds for the transaction, if it lives, goes back.
-            Err(CallFailure::NotSent) => Ended::NotTaken("unreachable"),
+            Ok(outcome) => self.handle_outcome(outcome, lent, sent_at),
+            // If the owner is alive, dropping `lent` releases what it holds for the
+            // transaction.
+            Err(CallFailure::NotSent) => CallEnd::NotTaken("unreachable"),
             Err(CallFailure::Broken) => {
                 lent.number = None;
-                Ended::Attempt(Attempt::Lost)
+                CallEnd::Attempt(Attempt::Lost)
             }
-            Err(CallFailure::OwnerSilent) if repeatable => Ended::NotTaken("silent"),
+            Err(CallFailure::OwnerSilent) if is_repeatable => CallEnd::NotTaken("silent"),
             Err(CallFailure::OwnerSilent) => {
                 let owner = self.link.owner();
-                self.gateway.forwarding.pass_over(owner, "silent");
-                Ended::Attempt(Attempt::TimedOut)
+                self.gateway.forwarding.suspend(owner, "silent");
+                CallEnd::Attempt(Attempt::TimedOut)
             }
             Err(CallFailure::NoAnswer) => {
                 self.gateway.instance_silent(self.instance, sent_at);
-                Ended::Attempt(Attempt::TimedOut)
+                CallEnd::Attempt(Attempt::TimedOut)
             }
         }
     }
 
-    /// Logs a statement that its owner did not have answered.
+    /// Logs a statement to which the owner returned no answer of the instance.
     fn log_failure(&self, outcome: &Result<ForwardOutcome, CallFailure>, sent_at: Instant) {
         if matches!(outcome, Ok(ForwardOutcome::Answered { .. })) {
             return;
@@ -251,18 +252,18 @@
             .log();
     }
 
-    fn judge(
+    fn handle_outcome(
         &self,
         outcome: ForwardOutcome,
         mut lent: LentConnection,
         sent_at: Instant,
-    ) -> Ended<P> {
+    ) -> CallEnd<P> {
         let gateway = self.gateway;
         let is_lent = matches!(outcome, ForwardOutcome::Answered { is_lent: true, .. });
         if !is_lent {
             lent.number = None;
         }
-        Ended::Attempt(match outcome {
+        CallEnd::Attempt(match outcome {
             ForwardOutcome::Answered { reply, begin, .. } => {
                 let reply = translate::reply_from(reply);
                 let took = sent_at.elapsed();
@@ -274,7 +275,7 @@
                     sent_at,
                 })
             }
-            ForwardOutcome::NotOwner => return Ended::NotTaken("not_owner"),
+            ForwardOutcome::NotOwner => return CallEnd::NotTaken("not_owner"),
             ForwardOutcome::NoConnection => Attempt::NotRun(NotRunCause::NoConnection),
             ForwardOutcome::Unreachable => {
                 gateway.connection_lost(self.instance);
@@ -305,8 +306,8 @@
     }
 }
 
-/// Asks an owner of a primary's connections for evidence of it that covers `moment`;
-/// `None` if none tells any.
+/// Asks an owner of a primary's connections for evidence of the log's position that
+/// covers `moment`; `None` if no owner can be asked or it has none.
 pub(crate) async fn ask_evidence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     owners: &InstanceOwners,
@@ -331,7 +332,7 @@
     milliseconds(moment.saturating_duration_since(Instant::now()))
 }
 
-/// Values of a session as they were handed over.
+/// The session values that came with a statement.
 fn session_values(statement: &ForwardStatement) -> SessionValues {
     translate::values_from(&statement.values)
 }
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -1,4 +1,4 @@
-//! An owner's side: runs other nodes' statements on its own connections.
+//! The owner's side: runs other nodes' statements on this node's connections.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -33,32 +33,32 @@
 use crate::request::principal::Principal;
 use crate::request::transaction::roll_back;
 
-/// How long the asking node may take to take in an answer.
+/// How long writing one message to the asking node may take.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How often lent connections are looked at.
-const REST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long a lent connection may rest if the configuration names no limit for
-/// transactions, and beyond such a limit.
-const LONGEST_REST: Duration = Duration::from_secs(10);
+/// How often idle lent connections are checked.
+const RECLAIM_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long a lent connection may be idle beyond the configured limit for idle
+/// transactions, which counts as zero if there is none.
+const EXTRA_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// A connection that is lent, or about to be.
+/// A connection that is lent or will be once its opening statement has run.
 enum Slot<P: Platform> {
-    /// A statement runs on it.
+    /// A statement runs on the connection.
     Running,
-    /// It rests inside its transaction.
-    Resting {
+    /// The connection is idle in its transaction.
+    Idle {
         lease: Lease<ConnectionOf<P>>,
         since: Instant,
     },
-    /// The asking node has given it up while a statement runs on it.
-    GivenUp,
+    /// The asking node has released the connection while a statement runs on it.
+    Released,
 }
 
-/// What is lent over one stream, by the number of the opening statement.
-struct Lent<P: Platform> {
+/// Connections lent over one stream, by the number of the opening statement.
+struct LentConnections<P: Platform> {
     slots: Mutex<Option<HashMap<u64, Slot<P>>>>,
     outbox: mpsc::UnboundedSender<ForwardMessage>,
-    /// Counts what is lent over all streams.
+    /// Number of connections lent over all streams.
     count: Arc<AtomicUsize>,
 }
 
@@ -68,36 +68,36 @@
     stream: TcpStream,
     key: &PeerKey,
 ) {
-    let (reading, writing) = stream.into_split();
+    let (read_half, write_half) = stream.into_split();
     let (outbox, messages) = mpsc::unbounded_channel();
-    let lent = Arc::new(Lent {
+    let lent = Arc::new(LentConnections {
         slots: Mutex::new(Some(HashMap::new())),
         outbox,
         count: gateway.forwarding.lent_connections.clone(),
     });
-    let mut reading = BufReader::new(reading);
-    let listen = async {
-        while let Ok(message) = read_forward(&mut reading, key).await {
-            take(gateway, &lent, message);
+    let mut read_half = BufReader::new(read_half);
+    let receive = async {
+        while let Ok(message) = read_forward(&mut read_half, key).await {
+            handle_message(gateway, &lent, message);
         }
     };
     tokio::select! {
-        () = listen => {}
-        () = speak(writing, messages, key) => {}
+        () = receive => {}
+        () = send_all(write_half, messages, key) => {}
         () = reclaim(gateway, &lent) => {}
     }
-    lent.end();
+    lent.release_all();
 }
 
-async fn speak(
-    mut writing: OwnedWriteHalf,
+async fn send_all(
+    mut write_half: OwnedWriteHalf,
     mut messages: mpsc::UnboundedReceiver<ForwardMessage>,
     key: &PeerKey,
 ) {
     while let Some(message) = messages.recv().await {
         let frame = framed(&encode_forward(&message, key));
         if !matches!(
-            timeout(WRITE_TIMEOUT, writing.write_all(&frame)).await,
+            timeout(WRITE_TIMEOUT, write_half.write_all(&frame)).await,
             Ok(Ok(()))
         ) {
             return;
@@ -105,22 +105,26 @@
     }
 }
 
-/// Takes back what rests for longer than a transaction may: its node is gone
-/// without a word.
-async fn reclaim<P: Platform>(gateway: &Arc<Gateway<P>>, lent: &Lent<P>) {
-    let mut ticks = interval(REST_INTERVAL);
+/// Reclaims connections that are idle for longer than a transaction may be: the node
+/// that used them is gone without notice.
+async fn reclaim<P: Platform>(gateway: &Arc<Gateway<P>>, lent: &LentConnections<P>) {
+    let mut ticks = interval(RECLAIM_INTERVAL);
     loop {
         ticks.tick().await;
         let configuration = gateway.beliefs.configuration();
         let limit = configuration.and_then(|it| it.transaction_idle_timeout);
-        lent.take_back_after(limit.unwrap_or_default() + LONGEST_REST);
+        lent.reclaim_idle(limit.unwrap_or_default() + EXTRA_IDLE_TIME);
     }
 }
 
-fn take<P: Platform>(gateway: &Arc<Gateway<P>>, lent: &Arc<Lent<P>>, message: ForwardMessage) {
+fn handle_message<P: Platform>(
+    gateway: &Arc<Gateway<P>>,
+    lent: &Arc<LentConnections<P>>,
+    message: ForwardMessage,
+) {
     match message {
         ForwardMessage::Run(statement) => {
-            // Before anything else is taken: it may be given up at once.
+            // Before the next message is handled, which may be its release.
             if matches!(statement.frame, ForwardFrame::Opening { .. }) {
                 lent.insert(statement.number);
             }
@@ -134,17 +138,17 @@
             max_age_ms,
             instance,
         } => {
-            let is_believed = |id: &String| {
+            let is_known_primary = |id: &String| {
                 let primary = gateway.beliefs.primary(&service);
                 primary.is_some_and(|primary| *primary.id.0 == **id)
             };
-            if !instance.as_ref().is_none_or(is_believed) {
+            if !instance.as_ref().is_none_or(is_known_primary) {
                 let none = ForwardMessage::EvidenceAnswer {
                     number,
                     age_ms: 0,
                     position: None,
                 };
-                // Whoever asked may be gone.
+                // The asking node may be gone.
                 let _ = lent.outbox.send(none);
                 return;
             }
@@ -158,7 +162,7 @@
             let received_at = Instant::now();
             tokio::spawn(async move {
                 let answer = sharing::answer(&gateway, &question, received_at).await;
-                // Whoever asked may be gone.
+                // The asking node may be gone.
                 let _ = outbox.send(ForwardMessage::EvidenceAnswer {
                     number,
                     age_ms: milliseconds(answer.age),
@@ -167,10 +171,10 @@
             });
         }
         ForwardMessage::Ping => {
-            // Whoever asked may be gone.
+            // The asking node may be gone.
             let _ = lent.outbox.send(ForwardMessage::Pong);
         }
-        // Nothing else comes from a node that asks.
+        // An asking node sends no other messages.
         ForwardMessage::Ended { .. }
         | ForwardMessage::EvidenceAnswer { .. }
         | ForwardMessage::Pong => {}
@@ -179,33 +183,33 @@
 
 async fn run<P: Platform>(
     gateway: Arc<Gateway<P>>,
-    lent: Arc<Lent<P>>,
+    lent: Arc<LentConnections<P>>,
     statement: ForwardStatement,
 ) {
     let number = statement.number;
-    let outcome = match statement.lent {
+    let outcome = match statement.transaction {
         Some(opened_by) => continue_transaction(&gateway, &lent, opened_by, &statement).await,
         None => start(&gateway, &lent, &statement).await,
     };
     if !matches!(outcome, ForwardOutcome::Answered { is_lent: true, .. }) {
-        lent.remove(statement.lent.unwrap_or(number));
+        lent.remove(statement.transaction.unwrap_or(number));
     }
     gateway.metrics.run_for_others.add();
-    // Whoever asked may be gone.
+    // The asking node may be gone.
     let _ = lent.outbox.send(ForwardMessage::Ended { number, outcome });
 }
 
 /// Runs a statement that stands alone or opens a transaction.
 async fn start<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    lent: &Arc<Lent<P>>,
+    lent: &Arc<LentConnections<P>>,
     statement: &ForwardStatement,
 ) -> ForwardOutcome {
     let id = InstanceId(statement.instance.as_str().into());
     let Some(instance) = gateway.beliefs.instance(&id) else {
         return ForwardOutcome::NotOwner;
     };
-    if gateway.is_leaving() || !owns(gateway, &instance) {
+    if gateway.is_leaving() || !takes_statements_for(gateway, &instance) {
         return ForwardOutcome::NotOwner;
     }
     let now = Instant::now();
@@ -227,7 +231,7 @@
     let opens = matches!(frame, Frame::Opening { .. });
     let attempt = attempt::run_here(gateway, &instance, principal, &work, frame, bounds).await;
     match attempt {
-        Attempt::Answered(answer) if opens => lent.keep(statement.number, answer),
+        Attempt::Answered(answer) if opens => lent.finish_statement(statement.number, answer),
         Attempt::Answered(answer) => {
             let (reply, begin) = replies(&answer);
             answer.held.finish(answer.reply.status);
@@ -237,21 +241,21 @@
                 is_lent: false,
             }
         }
-        failed => failure(failed),
+        failed => outcome_of(failed),
     }
 }
 
-/// Whether this node takes statements for an instance: as an owner, or since all
-/// nodes hold connections.
-fn owns<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
+/// Whether this node takes statements for an instance: it is an owner, or all nodes
+/// hold connections.
+fn takes_statements_for<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
     let owners = gateway.pools.designated_owners(instance, &gateway.beliefs);
     owners.is_none_or(|owners| owners.includes_self)
 }
 
-/// Runs a statement in a transaction.
+/// Runs a statement in the transaction of a lent connection.
 async fn continue_transaction<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    lent: &Arc<Lent<P>>,
+    lent: &Arc<LentConnections<P>>,
     opened_by: u64,
     statement: &ForwardStatement,
 ) -> ForwardOutcome {
@@ -273,8 +277,8 @@
     let _pass = lease.gate().enter_at_once();
     let attempt = attempt::run_on_own(gateway, lease, principal, &work, frame, answer_by).await;
     match attempt {
-        Attempt::Answered(answer) => lent.keep(opened_by, answer),
-        failed => failure(failed),
+        Attempt::Answered(answer) => lent.finish_statement(opened_by, answer),
+        failed => outcome_of(failed),
     }
 }
 
@@ -291,7 +295,7 @@
     )
 }
 
-fn failure<P: Platform>(attempt: Attempt<P>) -> ForwardOutcome {
+fn outcome_of<P: Platform>(attempt: Attempt<P>) -> ForwardOutcome {
     match attempt {
         Attempt::NotRun(NotRunCause::NoConnection) => ForwardOutcome::NoConnection,
         Attempt::NotRun(NotRunCause::Unreachable) => ForwardOutcome::Unreachable,
@@ -309,8 +313,8 @@
     }
 }
 
-impl<P: Platform> Lent<P> {
-    /// A statement that opens a transaction begins.
+impl<P: Platform> LentConnections<P> {
+    /// Records that a statement which opens a transaction is about to run.
     fn insert(&self, number: u64) {
         if let Some(slots) = &mut *lock(&self.slots) {
             slots.insert(number, Slot::Running);
@@ -326,12 +330,13 @@
         }
     }
 
-    /// Takes a resting connection for a statement.
+    /// Takes an idle connection for a statement; `None` if it is not lent or a statement
+    /// runs on it.
     fn resume(&self, number: u64) -> Option<Lease<ConnectionOf<P>>> {
         let mut slots = lock(&self.slots);
         let slot = slots.as_mut()?.get_mut(&number)?;
         match std::mem::replace(slot, Slot::Running) {
-            Slot::Resting { lease, .. } => Some(lease),
+            Slot::Idle { lease, .. } => Some(lease),
             other => {
                 *slot = other;
                 None
@@ -339,17 +344,17 @@
         }
     }
 
-    /// A statement in a transaction was answered: its connection rests, or goes
-    /// back if the transaction is over or was given up.
-    fn keep(&self, number: u64, answer: Answer<P>) -> ForwardOutcome {
+    /// Handles the answer to a statement in a transaction. The connection stays lent
+    /// unless the transaction is over or was released.
+    fn finish_statement(&self, number: u64, answer: Answer<P>) -> ForwardOutcome {
         let (reply, begin) = replies(&answer);
         let status = answer.reply.status;
         let Held::Own(lease) = answer.held else {
             unreachable!("a node runs others' statements on connections of its own");
         };
-        let is_lent = status == TransactionStatus::Open && self.is_wanted(number);
+        let is_lent = status == TransactionStatus::Open && self.is_still_wanted(number);
         if is_lent {
-            self.rest(number, lease);
+            self.set_idle(number, lease);
         } else {
             give_back(lease, status);
         }
@@ -360,16 +365,16 @@
         }
     }
 
-    fn is_wanted(&self, number: u64) -> bool {
+    fn is_still_wanted(&self, number: u64) -> bool {
         let slots = lock(&self.slots);
         let slot = slots.as_ref().and_then(|slots| slots.get(&number));
         matches!(slot, Some(Slot::Running))
     }
 
-    fn rest(&self, number: u64, lease: Lease<ConnectionOf<P>>) {
+    fn set_idle(&self, number: u64, lease: Lease<ConnectionOf<P>>) {
         let since = Instant::now();
         if let Some(slots) = &mut *lock(&self.slots) {
-            slots.insert(number, Slot::Resting { lease, since });
+            slots.insert(number, Slot::Idle { lease, since });
         }
     }
 
@@ -379,27 +384,27 @@
             return;
         };
         match slots.remove(&number) {
-            Some(Slot::Resting { lease, .. }) => {
+            Some(Slot::Idle { lease, .. }) => {
                 self.count.fetch_sub(1, Ordering::Relaxed);
                 if !close {
                     give_back(lease, TransactionStatus::Open);
                 }
             }
-            Some(Slot::Running | Slot::GivenUp) => {
-                slots.insert(number, Slot::GivenUp);
+            Some(Slot::Running | Slot::Released) => {
+                slots.insert(number, Slot::Released);
             }
             None => {}
         }
     }
 
-    fn take_back_after(&self, longest: Duration) {
+    fn reclaim_idle(&self, max_idle: Duration) {
         let mut slots = lock(&self.slots);
         let Some(slots) = slots.as_mut() else {
             return;
         };
         let before = slots.len();
         slots.retain(|_, slot| match slot {
-            Slot::Resting { lease, since } if since.elapsed() > longest => {
+            Slot::Idle { lease, since } if since.elapsed() > max_idle => {
                 Event::info("lent_connection_reclaimed")
                     .field("instance", &lease.instance().id)
                     .field("rested_ms", since.elapsed().as_millis())
@@ -412,19 +417,20 @@
             .fetch_sub(before - slots.len(), Ordering::Relaxed);
     }
 
-    /// The stream has ended: what rests is rolled back.
-    fn end(&self) {
+    /// Ends all lending after the stream has ended: idle connections are rolled back and
+    /// given back.
+    fn release_all(&self) {
         let slots = lock(&self.slots).take().unwrap_or_default();
         self.count.fetch_sub(slots.len(), Ordering::Relaxed);
         for slot in slots.into_values() {
-            if let Slot::Resting { lease, .. } = slot {
+            if let Slot::Idle { lease, .. } = slot {
                 give_back(lease, TransactionStatus::Open);
             }
         }
     }
 }
 
-/// Gives a connection back; what is open on it is rolled back first.
+/// Gives a connection back after rolling back its open transaction, if any.
 fn give_back<C: crate::ports::BackendConnection>(lease: Lease<C>, status: TransactionStatus) {
     if status == TransactionStatus::Idle {
         attempt::finish_own(lease, status);
--- a/crates/linkhold-gateway/src/forward/translate.rs
+++ b/crates/linkhold-gateway/src/forward/translate.rs
@@ -1,4 +1,4 @@
-//! Statements and replies as they go between nodes.
+//! Conversion of statements and replies to and from messages between nodes.
 
 use bytes::Bytes;
 use linkhold_core::position::{Position, Term};
@@ -14,11 +14,11 @@
 use crate::ports::{BackendErrorKind, BackendOutcome, BackendReply};
 use crate::request::batch::{Frame, Work};
 
-fn pack(bytes: &Bytes) -> ByteVec {
+fn to_wire(bytes: &Bytes) -> ByteVec {
     bytes.to_vec().into()
 }
 
-fn unpack(bytes: &ByteVec) -> Bytes {
+fn from_wire(bytes: &ByteVec) -> Bytes {
     Bytes::copy_from_slice(bytes)
 }
 
@@ -26,7 +26,7 @@
     if writes { Access::Write } else { Access::Read }
 }
 
-/// The tenant whose connection is needed; `None` for no tenant's.
+/// The tenant whose connection a statement needs; `None` for a connection of no tenant.
 pub(super) fn tenant(holder: &ConnectionHolder) -> Option<String> {
     holder.tenant().map(ToString::to_string)
 }
@@ -55,22 +55,22 @@
 pub(super) fn values(values: &SessionValues) -> Vec<(ByteVec, ByteVec)> {
     let pairs = values.iter();
     pairs
-        .map(|(name, value)| (pack(name), pack(value)))
+        .map(|(name, value)| (to_wire(name), to_wire(value)))
         .collect()
 }
 
 pub(super) fn values_from(values: &[(ByteVec, ByteVec)]) -> SessionValues {
     let pairs = values.iter();
     pairs
-        .map(|(name, value)| (unpack(name), unpack(value)))
+        .map(|(name, value)| (from_wire(name), from_wire(value)))
         .collect()
 }
 
 pub(super) fn work(work: &Work) -> ForwardWork {
     match work {
         Work::Text { id, text, access } => ForwardWork::Text {
-            id: pack(id),
-            text: pack(text),
+            id: to_wire(id),
+            text: to_wire(text),
             writes: *access == Access::Write,
         },
         Work::Prepared {
@@ -78,14 +78,14 @@
             prepared,
             arguments,
         } => ForwardWork::Prepared {
-            id: pack(id),
-            shape: pack(&prepared.shape),
+            id: to_wire(id),
+            shape: to_wire(&prepared.shape),
             writes: prepared.access == Access::Write,
-            arguments: pack(arguments),
+            arguments: to_wire(arguments),
         },
         Work::Commit { id, text } => ForwardWork::Commit {
-            id: pack(id),
-            text: pack(text),
+            id: to_wire(id),
+            text: to_wire(text),
         },
     }
 }
@@ -93,8 +93,8 @@
 pub(super) fn work_from(work: &ForwardWork) -> Work {
     match work {
         ForwardWork::Text { id, text, writes } => Work::Text {
-            id: unpack(id),
-            text: unpack(text),
+            id: from_wire(id),
+            text: from_wire(text),
             access: access(*writes),
         },
         ForwardWork::Prepared {
@@ -103,16 +103,16 @@
             writes,
             arguments,
         } => Work::Prepared {
-            id: unpack(id),
+            id: from_wire(id),
             prepared: Prepared {
                 access: access(*writes),
-                shape: unpack(shape),
+                shape: from_wire(shape),
             },
-            arguments: unpack(arguments),
+            arguments: from_wire(arguments),
         },
         ForwardWork::Commit { id, text } => Work::Commit {
-            id: unpack(id),
-            text: unpack(text),
+            id: from_wire(id),
+            text: from_wire(text),
         },
     }
 }
@@ -133,7 +133,7 @@
 
 pub(super) fn frame(frame: Frame) -> ForwardFrame {
     match frame {
-        // The owner knows by the connection that it lent.
+        // The owner knows the transaction by the connection that it lent.
         Frame::Inside => ForwardFrame::Bare { fence: None },
         Frame::Bare { fence } => ForwardFrame::Bare {
             fence: fence.map(position),
@@ -187,11 +187,11 @@
 
 pub(super) fn reply(reply: &BackendReply) -> ForwardReply {
     ForwardReply {
-        rows: reply.rows.iter().map(pack).collect(),
+        rows: reply.rows.iter().map(to_wire).collect(),
         result: match &reply.outcome {
-            BackendOutcome::Completed(signature) => ForwardResult::Completed(pack(signature)),
+            BackendOutcome::Completed(signature) => ForwardResult::Completed(to_wire(signature)),
             BackendOutcome::Error { kind, message } => {
-                ForwardResult::Error(error(*kind), pack(message))
+                ForwardResult::Error(error(*kind), to_wire(message))
             }
         },
         status: match reply.status {
@@ -205,12 +205,12 @@
 
 pub(super) fn reply_from(reply: ForwardReply) -> BackendReply {
     BackendReply {
-        rows: reply.rows.iter().map(unpack).collect(),
+        rows: reply.rows.iter().map(from_wire).collect(),
         outcome: match &reply.result {
-            ForwardResult::Completed(signature) => BackendOutcome::Completed(unpack(signature)),
+            ForwardResult::Completed(signature) => BackendOutcome::Completed(from_wire(signature)),
             ForwardResult::Error(kind, message) => BackendOutcome::Error {
                 kind: error_from(*kind),
-                message: unpack(message),
+                message: from_wire(message),
             },
         },
         status: match reply.status {
--- a/crates/linkhold-gateway/src/state/forwarding.rs
+++ b/crates/linkhold-gateway/src/state/forwarding.rs
@@ -12,14 +12,14 @@
 use crate::beliefs::lock;
 use crate::forward::link::{Link, LinkState};
 
-/// How long an owner that could not be reached, or kept silent, is passed over.
-const OWNER_PAUSE: Duration = Duration::from_millis(1_500);
-/// Streams to owners.
+/// How long an owner that was unreachable or silent is not used.
+const OWNER_SUSPENSION: Duration = Duration::from_millis(1_500);
+/// Streams to owners, and connections lent to other nodes.
 #[derive(Default)]
 pub(crate) struct Forwarding {
     links: Mutex<HashMap<SocketAddr, Arc<Link>>>,
-    passed_over_until: Mutex<HashMap<SocketAddr, Instant>>,
-    /// Connections lent to other nodes.
+    suspended_until: Mutex<HashMap<SocketAddr, Instant>>,
+    /// Number of connections lent to other nodes.
     pub lent_connections: Arc<AtomicUsize>,
 }
 
@@ -37,27 +37,28 @@
         link
     }
 
-    /// Connections that are lent to other nodes for their transactions.
+    /// Number of connections lent to other nodes for their transactions.
     pub fn lent_connections(&self) -> usize {
         self.lent_connections.load(Ordering::Relaxed)
     }
 
-    /// An owner could not be reached, or kept silent.
-    pub fn pass_over(&self, owner: SocketAddr, why: &'static str) {
-        let until = Instant::now() + OWNER_PAUSE;
-        lock(&self.passed_over_until).insert(owner, until);
+    /// Stops using an owner for a while: it was unreachable or silent, or did not take a
+    /// statement.
+    pub fn suspend(&self, owner: SocketAddr, reason: &'static str) {
+        let until = Instant::now() + OWNER_SUSPENSION;
+        lock(&self.suspended_until).insert(owner, until);
         lock(&self.links).remove(&owner);
         Event::info("owner_passed_over")
             .field("owner", owner)
-            .field("reason", why)
-            .field("for_ms", OWNER_PAUSE.as_millis())
+            .field("reason", reason)
+            .field("for_ms", OWNER_SUSPENSION.as_millis())
             .log();
     }
 
-    /// The first owner that is not passed over and not silent.
+    /// The first owner that is neither suspended nor silent.
     pub fn choose(&self, owners: &[SocketAddr]) -> Option<SocketAddr> {
         let now = Instant::now();
-        let passed_over = lock(&self.passed_over_until);
+        let suspended_until = lock(&self.suspended_until);
         let links = lock(&self.links);
         let is_silent = |owner: &SocketAddr| {
             let link = links.get(owner);
@@ -66,7 +67,7 @@
         owners
             .iter()
             .filter(|owner| !is_silent(owner))
-            .find(|owner| passed_over.get(owner).is_none_or(|until| now >= *until))
+            .find(|owner| suspended_until.get(owner).is_none_or(|until| now >= *until))
             .copied()
     }
 }
--- a/crates/linkhold-peer/src/forward.rs
+++ b/crates/linkhold-peer/src/forward.rs
@@ -1,10 +1,11 @@
-//! Statements that a node has run by another one, an owner of connections to
-//! the instance.
+//! Messages by which a node has another one, an owner of connections to the
+//! instance, run its statements.
 //!
 //! Messages go both ways on one stream between two nodes, framed by their
-//! length, and are told apart by numbers that the asking node chooses. A
-//! connection on which a transaction was opened stays lent until it is
-//! released; it goes by the number of the statement that opened it.
+//! length. The asking node chooses a number for each statement or question, and
+//! the answer repeats it. A connection on which a transaction was opened stays
+//! lent until it is released; the number of the statement that opened the
+//! transaction identifies it.
 
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
@@ -12,16 +13,16 @@
 use crate::{PeerError, PeerKey};
 
 /// Longest message, in bytes: a statement or an answer of the users' platform
-/// and what goes with it.
+/// with its envelope.
 pub const MAX_FORWARD_MESSAGE: usize = 4 * 1024 * 1024;
 
-/// A place in an instance's log: term and number.
+/// A position in an instance's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ForwardPosition {
-    /// The term.
+    /// Term of the entry.
     #[n(0)]
     pub term: u64,
-    /// The number.
+    /// Number of the entry.
     #[n(1)]
     pub index: u64,
 }
@@ -29,68 +30,68 @@
 /// A caller's statement.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ForwardWork {
-    /// Its text.
+    /// A statement as text.
     #[n(0)]
     Text {
-        /// The caller's identifier.
+        /// The caller's identifier of the statement.
         #[n(0)]
         id: ByteVec,
-        /// The text as it came.
+        /// The text as the caller sent it.
         #[n(1)]
         text: ByteVec,
-        /// It may change data.
+        /// Whether the statement may change data.
         #[n(2)]
         writes: bool,
     },
     /// An execution of a prepared statement.
     #[n(1)]
     Prepared {
-        /// The caller's identifier.
+        /// The caller's identifier of the statement.
         #[n(0)]
         id: ByteVec,
-        /// Shape of the prepared statement.
+        /// Shape of the prepared statement, which the proxy does not parse.
         #[n(1)]
         shape: ByteVec,
-        /// It may change data.
+        /// Whether the statement may change data.
         #[n(2)]
         writes: bool,
-        /// Arguments as they came.
+        /// The arguments as the caller sent them.
         #[n(3)]
         arguments: ByteVec,
     },
     /// The end of a transaction.
     #[n(2)]
     Commit {
-        /// The caller's identifier.
+        /// The caller's identifier of the statement.
         #[n(0)]
         id: ByteVec,
-        /// The text as it came.
+        /// The text as the caller sent it.
         #[n(1)]
         text: ByteVec,
     },
 }
 
-/// What stands around a statement.
+/// The transaction to start around a statement, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ForwardFrame {
-    /// Nothing.
+    /// The statement runs without one.
     #[n(0)]
     Bare {
-        /// Position the instance must have.
+        /// Position that the instance's log must have reached.
         #[n(0)]
         fence: Option<ForwardPosition>,
     },
-    /// It opens a transaction.
+    /// The statement opens a transaction.
     #[n(1)]
     Opening {
-        /// A replica may run it.
+        /// Whether a replica may run the transaction.
         #[n(0)]
         read_only: bool,
-        /// Position the instance must have.
+        /// Position that the instance's log must have reached.
         #[n(1)]
         fence: Option<ForwardPosition>,
     },
-    /// A transaction that proves the instance to be primary.
+    /// The statement runs in a transaction that proves the instance to be the primary.
     #[n(2)]
     ProvingPrimary,
 }
@@ -98,12 +99,13 @@
 /// A statement to run.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ForwardStatement {
-    /// Ties the answer to it.
+    /// Number that the answer repeats.
     #[n(0)]
     pub number: u64,
-    /// Number of the statement that opened the transaction it belongs to.
+    /// Number of the statement that opened the transaction this one belongs to; `None`
+    /// if it belongs to none or opens one.
     #[n(1)]
-    pub lent: Option<u64>,
+    pub transaction: Option<u64>,
     /// The instance that is to run it.
     #[n(2)]
     pub instance: String,
@@ -113,10 +115,10 @@
     /// The statement.
     #[n(4)]
     pub work: ForwardWork,
-    /// What stands around it.
+    /// The transaction to start around it.
     #[n(5)]
     pub frame: ForwardFrame,
-    /// It waits among reads.
+    /// Whether it queues for a connection as a read.
     #[n(6)]
     pub is_read: bool,
     /// The route's priority.
@@ -128,40 +130,40 @@
     /// How long its answer may take, in milliseconds.
     #[n(9)]
     pub answer_within_ms: u64,
-    /// The tenant whose connection it needs; `None` for no tenant's.
+    /// The tenant whose connection it needs; `None` for a connection of no tenant.
     #[n(10)]
     pub tenant: Option<String>,
-    /// Regions in which it may be run; empty is everywhere.
+    /// Regions in which it may run; empty means everywhere.
     #[n(11)]
     pub regions: Vec<String>,
 }
 
-/// What an instance's error means.
+/// Meaning of an instance's error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum ForwardErrorKind {
-    /// No free slot; not run.
+    /// The instance has no free slot; not run.
     #[n(0)]
     Busy,
-    /// The log lacks the position asked for; not run.
+    /// The instance's log has not reached the required position; not run.
     #[n(1)]
     Lagging,
-    /// Not the primary; not run.
+    /// The instance is not the primary; not run.
     #[n(2)]
     ReadOnly,
-    /// Another instance or service; not run.
+    /// The address belongs to another instance or service; not run.
     #[n(3)]
     WrongInstance,
-    /// Its connections are used up; not run.
+    /// The instance accepts no more connections; not run.
     #[n(4)]
     TooManyConnections,
-    /// The prepared name is not known; not run.
+    /// The instance does not know the prepared statement; not run.
     #[n(5)]
     UnknownPrepared,
-    /// The transaction is undone.
+    /// The transaction was rolled back.
     #[n(6)]
     Aborted,
-    /// It ran and failed, or its fate is not known.
+    /// The statement ran and failed, or its outcome is unknown.
     #[n(7)]
     Ran,
 }
@@ -169,10 +171,10 @@
 /// How an instance ended a statement.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ForwardResult {
-    /// Done, with its signature.
+    /// The statement completed, with this signature.
     #[n(0)]
     Completed(#[n(0)] ByteVec),
-    /// Refused or failed: what that means, code and text.
+    /// The statement was refused or failed: meaning of the error, and its code and text.
     #[n(1)]
     Error(#[n(0)] ForwardErrorKind, #[n(1)] ByteVec),
 }
@@ -181,13 +183,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum ForwardStatus {
-    /// None is open.
+    /// No transaction is open.
     #[n(0)]
     Idle,
-    /// One is open.
+    /// A transaction is open.
     #[n(1)]
     Open,
-    /// One is open and has failed.
+    /// A transaction is open and has failed.
     #[n(2)]
     Failed,
 }
@@ -195,13 +197,13 @@
 /// An instance's reply.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ForwardReply {
-    /// Rows as they came.
+    /// Rows as the instance sent them.
     #[n(0)]
     pub rows: Vec<ByteVec>,
-    /// How it ended.
+    /// How the statement ended.
     #[n(1)]
     pub result: ForwardResult,
-    /// State of the transaction.
+    /// State of the connection's transaction.
     #[n(2)]
     pub status: ForwardStatus,
     /// Position of the instance's log.
@@ -213,10 +215,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum ForwardIneligible {
-    /// The instance stands outside the request's regions.
+    /// The instance is outside the request's regions.
     #[n(0)]
     OutsideRegions,
-    /// Its zone is evacuated.
+    /// The instance's zone is evacuated.
     #[n(1)]
     Evacuated,
 }
@@ -224,42 +226,44 @@
 /// How a forwarded statement ended.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ForwardOutcome {
-    /// The instance answered it.
+    /// The instance answered.
     #[n(0)]
     Answered {
-        /// Its reply.
+        /// The instance's reply to the statement.
         #[n(0)]
         reply: ForwardReply,
-        /// Its reply to the start of the transaction, if there was one.
+        /// The instance's reply to the start of the transaction, if the statement opened
+        /// one.
         #[n(1)]
         begin: Option<ForwardReply>,
-        /// The connection stays lent.
+        /// Whether the connection stays lent.
         #[n(2)]
         is_lent: bool,
     },
     /// Certainly not run: no connection was free in time.
     #[n(1)]
     NoConnection,
-    /// Certainly not run: the instance, or the lent connection, is not there.
+    /// Certainly not run: the owner does not reach the instance or no longer has the lent
+    /// connection.
     #[n(2)]
     Unreachable,
-    /// Certainly not run: the owner takes no statements for the instance.
+    /// Certainly not run: this node takes no statements for the instance.
     #[n(3)]
     NotOwner,
     /// Certainly not run: refused by the instance.
     #[n(4)]
     Refused(#[n(0)] ForwardErrorKind),
-    /// The connection broke after it was sent.
+    /// The connection broke after the statement was sent.
     #[n(5)]
     Lost,
     /// No answer came in time.
     #[n(6)]
     TimedOut,
-    /// Certainly not run: it may not be sent to the instance.
+    /// Certainly not run: the statement may not be sent to the instance.
     #[n(7)]
     Ineligible(#[n(0)] ForwardIneligible),
-    /// Certainly not run: the instance may be cold, and this owner may send to it
-    /// after so many milliseconds.
+    /// Certainly not run: the instance may be cold, and this owner may send to it again
+    /// after this many milliseconds.
     #[n(8)]
     WarmingUp(#[n(0)] u64),
 }
@@ -267,33 +271,33 @@
 /// A message between a node and an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ForwardMessage {
-    /// Please run a statement.
+    /// Asks an owner to run a statement.
     #[n(0)]
     Run(#[n(0)] ForwardStatement),
-    /// A lent connection is given back, or its statement given up.
+    /// Gives a lent connection back, or gives its statement up.
     #[n(1)]
     Release {
-        /// Number of the statement that opened it.
+        /// Number of the statement that opened the transaction.
         #[n(0)]
         number: u64,
-        /// It must not be used again.
+        /// Whether the connection must be closed instead of being used again.
         #[n(1)]
         close: bool,
     },
     /// A statement has ended.
     #[n(2)]
     Ended {
-        /// Its number.
+        /// The statement's number.
         #[n(0)]
         number: u64,
-        /// How.
+        /// How the statement ended.
         #[n(1)]
         outcome: ForwardOutcome,
     },
-    /// How far has a service's log come?
+    /// Asks for evidence of the position that a service's log has reached.
     #[n(3)]
     EvidenceQuestion {
-        /// Ties the answer to it.
+        /// Number that the answer repeats.
         #[n(0)]
         number: u64,
         /// The service.
@@ -303,39 +307,39 @@
         /// milliseconds.
         #[n(2)]
         max_age_ms: u64,
-        /// The instance that whoever asks believes to lead: what an owner that
-        /// believes in another one knows is no evidence for it.
+        /// The instance that the asking node considers the primary. An owner that knows
+        /// another primary has no evidence for it.
         #[n(3)]
         instance: Option<String>,
     },
-    /// The answer to that.
+    /// Answers an evidence question.
     #[n(4)]
     EvidenceAnswer {
         /// The question's number.
         #[n(0)]
         number: u64,
-        /// Age of the evidence when the question arrived, rounded up.
+        /// Age of the evidence when the question arrived, in milliseconds rounded up.
         #[n(1)]
         age_ms: u64,
-        /// Position of the primary's log, if there is evidence.
+        /// Position of the primary's log; `None` if there is no evidence.
         #[n(2)]
         position: Option<ForwardPosition>,
     },
-    /// Do you live?
+    /// Asks an owner whether it is alive.
     #[n(5)]
     Ping,
-    /// I do.
+    /// Answers a ping.
     #[n(6)]
     Pong,
 }
 
-/// Encodes a message, without its length.
+/// Encodes a message, without its length prefix.
 pub fn encode_forward(message: &ForwardMessage, key: &PeerKey) -> Vec<u8> {
     let body = minicbor::to_vec(message).expect("encoding to a vector does not fail");
     key.seal(&body)
 }
 
-/// Decodes a message.
+/// Checks and decodes a message.
 pub fn decode_forward(bytes: &[u8], key: &PeerKey) -> Result<ForwardMessage, PeerError> {
     let body = key.open(bytes, MAX_FORWARD_MESSAGE)?;
     minicbor::decode(body).map_err(|_| PeerError::Malformed)
--- a/crates/linkhold-peer/tests/forward.rs
+++ b/crates/linkhold-peer/tests/forward.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes and owners of connections.
+//! Encoding of the messages between nodes and owners of connections.
 
 use linkhold_peer::{
     ForwardErrorKind, ForwardFrame, ForwardMessage, ForwardOutcome, ForwardPosition, ForwardReply,
@@ -21,7 +21,7 @@
 fn statement(work: ForwardWork, frame: ForwardFrame) -> ForwardMessage {
     ForwardMessage::Run(ForwardStatement {
         number: u64::MAX,
-        lent: Some(5),
+        transaction: Some(5),
         instance: "one".to_owned(),
         values: vec![(bytes("mood"), bytes("calm")), (bytes("empty"), bytes(""))],
         work,
