--- a/crates/linkhold-gateway/src/pool/lease.rs
+++ b/crates/linkhold-gateway/src/pool/lease.rs
@@ -1,4 +1,4 @@
-//! Connections in use.
+//! Connections that are checked out of a pool.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::gate::Gate;
 use crate::ports::{BackendConnection, Command};
 
-/// How long a connection that may be silent for good has to answer: six times the
-/// way between regions, there and back.
-const PROOF_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a connection that may be silent for good has to answer a check: six times the
+/// round trip between regions.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A connection in use. Dropped without [`Lease::release`], it is closed.
+/// A connection in use. It is closed if dropped without [`Lease::release`].
 pub struct Lease<C: BackendConnection> {
     pool: Arc<Pool<C>>,
     pooled: Option<PooledConnection<C>>,
@@ -30,60 +30,63 @@
         }
     }
 
-    /// Statements under way at the instance.
+    /// The gate that limits concurrent statements at the instance.
     pub(crate) fn gate(&self) -> &Arc<Gate> {
         &self.pool.gate
     }
 
-    /// The instance it leads to.
+    /// The instance it is connected to.
     pub fn instance(&self) -> &Arc<Instance> {
         &self.pool.instance
     }
 
-    /// Whose statements it carries.
+    /// The holder whose statements it carries.
     pub fn holder(&self) -> &ConnectionHolder {
-        &self.present().holder
+        &self.pooled_ref().holder
     }
 
-    /// Whether no node on its way stands outside the regions.
+    /// Whether every node on the connection's path is in the regions.
     pub fn is_within(&self, regions: &AllowedRegions) -> bool {
-        self.present().is_within(regions)
+        self.pooled_ref().is_within(regions)
     }
 
     /// When the connection had been opened.
     pub fn opened_at(&self) -> std::time::Instant {
-        self.present().opened_at.into_std()
+        self.pooled_ref().opened_at.into_std()
     }
 
-    fn present(&self) -> &PooledConnection<C> {
+    fn pooled_ref(&self) -> &PooledConnection<C> {
         self.pooled
             .as_ref()
             .expect("a lease has its connection until it is released")
     }
 
-    /// The connection. Present until release or drop.
+    /// The connection, which is present until release or drop.
     pub fn pooled(&mut self) -> &mut PooledConnection<C> {
         self.pooled
             .as_mut()
             .expect("a lease has its connection until it is released")
     }
 
-    /// Statements fell silent on another connection: those that are as old are asked
-    /// before they are used.
+    /// Has the pool's connections that were last used before `sent_at` checked before
+    /// they are used again: a statement that was sent then got no answer on this one.
     pub(crate) fn suspect_used_before(&self, sent_at: Instant) {
         self.pool.suspect_used_before(sent_at);
     }
 
-    /// Whether the connection still answers. What is open on it is rolled back.
+    /// Checks whether the connection still answers, by rolling back its open transaction.
     pub(super) async fn answers(&mut self) -> bool {
         let pooled = self.pooled();
-        let asking = pooled.connection.exchange(&[Command::Rollback]);
-        let has_answered = matches!(tokio::time::timeout(PROOF_TIMEOUT, asking).await, Ok(Ok(_)));
+        let checking = pooled.connection.exchange(&[Command::Rollback]);
+        let has_answered = matches!(
+            tokio::time::timeout(CHECK_TIMEOUT, checking).await,
+            Ok(Ok(_))
+        );
         pooled.needs_rollback &= !has_answered;
         has_answered
     }
 
-    /// Gives the connection back for others to use.
+    /// Gives the connection back to the pool.
     pub fn release(mut self) {
         if let Some(pooled) = self.pooled.take() {
             self.pool.put_back(pooled);
@@ -94,7 +97,7 @@
 impl<C: BackendConnection> Drop for Lease<C> {
     fn drop(&mut self) {
         if self.pooled.take().is_some() {
-            self.pool.closed();
+            self.pool.release_permit();
         }
     }
 }
--- a/crates/linkhold-gateway/src/pool/mod.rs
+++ b/crates/linkhold-gateway/src/pool/mod.rs
@@ -1,16 +1,16 @@
-//! Connections of this node to one instance.
+//! Pool of this node's connections to one instance.
 //!
 //! # Invariants
 //!
 //! * At most `limit` connections are open or being opened at a time.
-//! * A connection has one user from checkout to release. It goes back only
-//!   after every reply was read; one whose state is in doubt is closed.
-//! * A connection has one holder from its start to its end: it is handed only to
-//!   those who ask for a connection of that holder.
-//! * Waiters of one holder are served by urgency, then in the order of their
-//!   arrival. Where only connections of other holders are idle, the one that has
-//!   been idle longest is closed to make room. A holder with waiters keeps its
-//!   connections from other holders for [`OTHERS_PATIENCE`] at most.
+//! * A connection has one user from checkout to release. It is given back only after
+//!   every reply was read; one whose state is in doubt is closed.
+//! * A connection belongs to one holder for as long as it is open: it is handed out only
+//!   for statements of that holder.
+//! * Waiters of one holder are served by urgency, then in the order of their arrival.
+//!   Where only connections of other holders are idle, the one that has been idle longest
+//!   is closed to make room. A holder with waiters keeps its connections from other
+//!   holders for [`OTHER_HOLDER_MAX_WAIT`] at most.
 
 mod lease;
 mod opener;
@@ -36,67 +36,68 @@
 use crate::request::principal::Principal;
 
 pub use lease::Lease;
-pub(crate) use opener::{Connected, LONGEST_REUSE, Opener};
+pub(crate) use opener::{Connected, MAX_RELAYED_AGE, Opener};
 pub use pooled::PooledConnection;
 use pooled::Relayed;
 
 /// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long others wait for a place while a holder's connections go from one of
-/// its waiters to the next: three times what a new connection costs an instance,
-/// so that a place changes hands only where that is less than the wait.
-const OTHERS_PATIENCE: Duration = Duration::from_millis(40);
+/// How long other holders wait for a permit while a holder's connections pass from one of
+/// its waiters to the next: three times what a new connection costs an instance, so that
+/// a permit changes holders only where that costs less than the wait.
+const OTHER_HOLDER_MAX_WAIT: Duration = Duration::from_millis(40);
 
-/// Why no connection was had. Nothing was sent.
+/// Why a checkout failed. Nothing was sent to the instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckoutError {
     /// All connections stayed in use until the deadline.
     Exhausted,
-    /// A new one could not be made.
+    /// A new connection could not be opened.
     Connect(ConnectError),
 }
 
-/// What a waiter gets.
+/// What a waiter receives.
 enum Grant<C> {
     Connection(Box<PooledConnection<C>>),
-    /// A place for a new connection, which the waiter has opened.
-    Place,
-    /// A connection that was being opened could not be made.
-    Failed(ConnectError),
+    /// A permit for a new connection, which the waiter then has opened.
+    Permit,
+    /// A connection that was being opened failed.
+    ConnectFailed(ConnectError),
 }
 
 type WaiterKey = (Urgency, u64);
 
-/// Who waits for a connection.
+/// A checkout that waits for a connection.
 struct Waiter<C> {
     holder: ConnectionHolder,
     regions: AllowedRegions,
     since: Instant,
-    /// A connection is being opened, or was, because of it.
-    has_opened: bool,
+    /// A connection is being opened, or was, on a permit of this waiter.
+    has_had_permit: bool,
     sender: oneshot::Sender<Grant<C>>,
 }
 
 struct PoolState<C> {
-    /// In the order in which they were given back.
+    /// Idle connections, in the order in which they were given back.
     idle: Vec<PooledConnection<C>>,
     open: usize,
     waiters: BTreeMap<WaiterKey, Waiter<C>>,
     next_waiter: u64,
-    /// Connections that were used last before this may be silent for good.
+    /// Connections that were last used before this time may be silent for good.
     suspect_before: Option<Instant>,
 }
 
 impl<C> PoolState<C> {
-    /// Whether a connection was used last before one that fell silent was asked.
+    /// Whether a connection was last used before the statement that another connection
+    /// left unanswered was sent.
     fn is_suspect(&self, pooled: &PooledConnection<C>) -> bool {
         self.suspect_before
             .is_some_and(|moment| pooled.given_back_at < moment)
     }
 
-    /// Takes a place for a new connection if there is room, or makes room by
-    /// closing the idle one that was given back first.
+    /// Takes a permit for a new connection if the limit allows it, or makes room by
+    /// closing the connection that has been idle longest.
     fn reserve(&mut self, limit: usize) -> bool {
         if self.open < limit {
             self.open += 1;
@@ -109,41 +110,40 @@
         true
     }
 
-    /// Gives free places to those who wait for a connection of their holder and
-    /// have none opened yet.
-    fn offer_places(&mut self, limit: usize) {
-        while let Some(key) = self.first_unserved(|_| true) {
+    /// Grants free permits to waiters that have not had one yet.
+    fn grant_permits(&mut self, limit: usize) {
+        while let Some(key) = self.first_without_permit(|_| true) {
             if !self.reserve(limit) {
                 return;
             }
             let waiter = self.waiters.remove(&key);
-            let taken = waiter.is_some_and(|it| it.sender.send(Grant::Place).is_ok());
-            if !taken {
+            let was_accepted = waiter.is_some_and(|it| it.sender.send(Grant::Permit).is_ok());
+            if !was_accepted {
                 self.open -= 1;
             }
         }
     }
 
-    /// The first waiter that has no connection opened for it and fits.
-    fn first_unserved(&self, fits: impl Fn(&Waiter<C>) -> bool) -> Option<WaiterKey> {
+    /// The first waiter that has not had a permit and fits.
+    fn first_without_permit(&self, fits: impl Fn(&Waiter<C>) -> bool) -> Option<WaiterKey> {
         let mut waiters = self.waiters.iter();
-        let found = waiters.find(|(_, waiter)| !waiter.has_opened && fits(waiter));
+        let found = waiters.find(|(_, waiter)| !waiter.has_had_permit && fits(waiter));
         found.map(|(key, _)| *key)
     }
 
-    /// Whether somebody has waited long for a place while another holder keeps
-    /// its connections.
-    fn is_due_to_others(&self, holder: &ConnectionHolder) -> bool {
-        let is_due = |waiter: &Waiter<C>| {
-            waiter.holder != *holder && waiter.since.elapsed() > OTHERS_PATIENCE
+    /// Whether a waiter of another holder than `holder` has waited for a permit for
+    /// longer than [`OTHER_HOLDER_MAX_WAIT`].
+    fn is_owed_to_other_holder(&self, holder: &ConnectionHolder) -> bool {
+        let is_overdue = |waiter: &Waiter<C>| {
+            waiter.holder != *holder && waiter.since.elapsed() > OTHER_HOLDER_MAX_WAIT
         };
-        self.first_unserved(is_due).is_some()
+        self.first_without_permit(is_overdue).is_some()
     }
 
-    /// The first waiter for whom a connection is.
+    /// The first waiter that may use a connection.
     fn first_waiter_for(&self, pooled: &PooledConnection<C>) -> Option<WaiterKey> {
         let mut waiters = self.waiters.iter();
-        let found = waiters.find(|(_, waiter)| pooled.suits(&waiter.holder, &waiter.regions));
+        let found = waiters.find(|(_, waiter)| pooled.may_serve(&waiter.holder, &waiter.regions));
         found.map(|(key, _)| *key)
     }
 }
@@ -175,19 +175,19 @@
         }
     }
 
-    /// The instance.
+    /// The instance that the connections lead to.
     pub fn instance(&self) -> &Arc<Instance> {
         &self.instance
     }
 
-    /// Connections opened since the start.
+    /// Number of connections opened since the start.
     pub fn opened(&self) -> usize {
         self.opened.load(Ordering::Relaxed)
     }
 
-    /// Takes a connection for a principal, preferably one that has its values; waits
-    /// until `deadline` for one. A connection that is being opened goes on being
-    /// opened when nobody waits for it any more.
+    /// Takes a connection for a principal, preferably one with the principal's session
+    /// values; waits for one until `deadline`. A connection that is being opened is opened
+    /// to the end even if its waiter has left.
     pub(crate) async fn checkout<O: Opener<C>>(
         self: &Arc<Self>,
         opener: &Arc<O>,
@@ -205,9 +205,9 @@
         }
         let key = self.next_key(urgency);
         let since = Instant::now();
-        let mut has_place = self.try_reserve();
+        let mut has_permit = self.try_reserve();
         loop {
-            if has_place {
+            if has_permit {
                 let holder = principal.holder.clone();
                 let regions = principal.regions.clone();
                 tokio::spawn(self.clone().open(opener.clone(), holder, regions));
@@ -217,14 +217,14 @@
                 holder: principal.holder.clone(),
                 regions: principal.regions.clone(),
                 since,
-                has_opened: has_place,
+                has_had_permit: has_permit,
                 sender,
             };
             let mut waiting = Waiting::start(self, key, waiter, receiver);
             match tokio::time::timeout_at(deadline, &mut waiting.receiver).await {
                 Ok(Ok(Grant::Connection(pooled))) => return Ok(Lease::new(self.clone(), *pooled)),
-                Ok(Ok(Grant::Place)) => has_place = true,
-                Ok(Ok(Grant::Failed(error))) => return Err(CheckoutError::Connect(error)),
+                Ok(Ok(Grant::Permit)) => has_permit = true,
+                Ok(Ok(Grant::ConnectFailed(error))) => return Err(CheckoutError::Connect(error)),
                 Ok(Err(_)) | Err(_) => return Err(CheckoutError::Exhausted),
             }
         }
@@ -253,8 +253,8 @@
         lock(&self.state).reserve(self.limit())
     }
 
-    /// A connection gave no answer to what was sent at `sent_at`: those that were
-    /// used last before that may be as silent as it.
+    /// Suspects the connections that were last used before `sent_at`: a statement that
+    /// was sent then got no answer on another connection, and they may be silent as well.
     pub(crate) fn suspect_used_before(&self, sent_at: Instant) {
         let mut state = lock(&self.state);
         state.suspect_before = state.suspect_before.max(Some(sent_at));
@@ -264,17 +264,17 @@
         lock(&self.state).is_suspect(pooled)
     }
 
-    /// Closes those that may be silent: a second one was.
+    /// Closes all idle connections that may be silent, after a second one was found so.
     fn close_suspects(&self) {
         let mut state = lock(&self.state);
         let idle = std::mem::take(&mut state.idle);
         let before = idle.len();
-        let proved = idle.into_iter().filter(|pooled| !state.is_suspect(pooled));
-        state.idle = proved.collect();
+        let trusted = idle.into_iter().filter(|pooled| !state.is_suspect(pooled));
+        state.idle = trusted.collect();
         state.open -= before - state.idle.len();
     }
 
-    /// Opens a connection on a place that is reserved and hands it on.
+    /// Opens a connection on a permit and hands it to a waiter.
     async fn open<O: Opener<C>>(
         self: Arc<Self>,
         opener: Arc<O>,
@@ -290,7 +290,7 @@
                 self.opened.fetch_add(1, Ordering::Relaxed);
                 let relayed = connected.relayed_through.map(|region| Relayed {
                     region,
-                    reuse_until: Instant::now() + LONGEST_REUSE,
+                    reuse_until: Instant::now() + MAX_RELAYED_AGE,
                 });
                 self.put_back(PooledConnection {
                     connection: connected.connection,
@@ -309,37 +309,37 @@
         }
     }
 
-    /// A connection could not be made: whoever waits is told, since the next
-    /// try would end alike. Where the instance has none left, others may still
-    /// get one that stands.
+    /// Fails the waiters after a connection could not be opened, since the next attempt
+    /// would end alike. Where the instance refused or closed it, only the waiters of its
+    /// holder fail: others may still get a connection that is open.
     fn fail_waiters(&self, holder: &ConnectionHolder, error: ConnectError) {
-        let concerns_all = match error {
+        let affects_all = match error {
             ConnectError::Unreachable | ConnectError::WrongInstance => true,
             ConnectError::Rejected | ConnectError::Closed => false,
         };
         let mut state = lock(&self.state);
         state.open -= 1;
-        let concerned: Vec<WaiterKey> = state
+        let affected: Vec<WaiterKey> = state
             .waiters
             .iter()
-            .filter(|(_, waiter)| concerns_all || waiter.holder == *holder)
+            .filter(|(_, waiter)| affects_all || waiter.holder == *holder)
             .map(|(key, _)| *key)
             .collect();
-        for waiter in concerned.iter().filter_map(|key| state.waiters.remove(key)) {
-            // A waiter that has left needs no answer.
-            let _ = waiter.sender.send(Grant::Failed(error));
+        for waiter in affected.iter().filter_map(|key| state.waiters.remove(key)) {
+            // The waiter may have left.
+            let _ = waiter.sender.send(Grant::ConnectFailed(error));
         }
-        state.offer_places(self.limit());
+        state.grant_permits(self.limit());
     }
 
     fn put_back(&self, mut pooled: PooledConnection<C>) {
         pooled.given_back_at = Instant::now();
         let mut state = lock(&self.state);
         let limit = self.limit();
-        let is_needed_elsewhere = state.is_due_to_others(&pooled.holder);
-        if state.open > limit || is_needed_elsewhere || !pooled.may_be_reused() {
+        let is_owed_to_other = state.is_owed_to_other_holder(&pooled.holder);
+        if state.open > limit || is_owed_to_other || !pooled.may_be_reused() {
             state.open -= 1;
-            state.offer_places(limit);
+            state.grant_permits(limit);
             return;
         }
         let mut pooled = Box::new(pooled);
@@ -350,21 +350,22 @@
             match waiter.sender.send(Grant::Connection(pooled)) {
                 Ok(()) => return,
                 Err(Grant::Connection(refused)) => pooled = refused,
-                Err(Grant::Place | Grant::Failed(_)) => return,
+                Err(Grant::Permit | Grant::ConnectFailed(_)) => return,
             }
         }
         state.idle.push(*pooled);
-        state.offer_places(limit);
+        state.grant_permits(limit);
     }
 
-    /// A connection in use was closed, or a place for one not taken.
-    fn closed(&self) {
+    /// Releases the permit of a connection that was closed in use, or a permit that was
+    /// not used.
+    fn release_permit(&self) {
         let mut state = lock(&self.state);
         state.open -= 1;
-        state.offer_places(self.limit());
+        state.grant_permits(self.limit());
     }
 
-    /// Closes connections that are not in use.
+    /// Closes the connections that are not in use.
     pub fn close_idle(&self) {
         let mut state = lock(&self.state);
         let count = state.idle.len();
@@ -372,12 +373,12 @@
         state.open -= count;
     }
 
-    /// Statements under way at the instance.
+    /// The gate that limits concurrent statements at the instance.
     pub(crate) fn gate(&self) -> &Arc<Gate> {
         &self.gate
     }
 
-    /// Sets what this node may hold.
+    /// Sets how many connections this node may hold.
     pub fn set_share(&self, share: Share) {
         *lock(&self.share) = share;
         self.gate.set_connections(share.limit);
@@ -387,8 +388,8 @@
         lock(&self.share).limit
     }
 
-    /// Closes connections that have not been in use for as long as the share
-    /// tells, but for those that it keeps.
+    /// Closes connections that have been idle for longer than the share allows, except
+    /// for the number that it keeps.
     pub fn close_unused(&self) {
         let share = *lock(&self.share);
         let Some(idle_for) = share.idle_for else {
@@ -396,7 +397,7 @@
         };
         let mut state = lock(&self.state);
         let closable = state.idle.len().saturating_sub(share.kept);
-        // The first were given back first.
+        // The first in the list have been idle longest.
         let unused = state
             .idle
             .iter()
@@ -407,13 +408,13 @@
         state.open -= unused;
     }
 
-    /// Connections open or being opened.
+    /// Number of connections open or being opened.
     pub fn open_connections(&self) -> usize {
         lock(&self.state).open
     }
 }
 
-/// A waiter's place in the queue; a grant that nobody takes is passed on.
+/// A waiter's entry in the queue. When dropped, it passes on a grant that was not taken.
 struct Waiting<'a, C: BackendConnection> {
     pool: &'a Pool<C>,
     key: WaiterKey,
@@ -442,17 +443,18 @@
         self.receiver.close();
         match self.receiver.try_recv() {
             Ok(Grant::Connection(pooled)) => self.pool.put_back(*pooled),
-            Ok(Grant::Place) => self.pool.closed(),
-            Ok(Grant::Failed(_)) | Err(_) => {}
+            Ok(Grant::Permit) => self.pool.release_permit(),
+            Ok(Grant::ConnectFailed(_)) | Err(_) => {}
         }
     }
 }
 
-/// The connection for a principal that was given back last, preferably one that
-/// has its values.
+/// Index of the connection that a principal may use and that was given back last,
+/// preferably one with the principal's session values.
 fn best_idle<C>(idle: &[PooledConnection<C>], principal: Principal<'_>) -> Option<usize> {
-    let suits = |pooled: &PooledConnection<C>| pooled.suits(principal.holder, principal.regions);
+    let may_serve =
+        |pooled: &PooledConnection<C>| pooled.may_serve(principal.holder, principal.regions);
     idle.iter()
-        .rposition(|pooled| suits(pooled) && pooled.state.values == *principal.values)
-        .or_else(|| idle.iter().rposition(suits))
+        .rposition(|pooled| may_serve(pooled) && pooled.state.values == *principal.values)
+        .or_else(|| idle.iter().rposition(may_serve))
 }
--- a/crates/linkhold-gateway/src/pool/opener.rs
+++ b/crates/linkhold-gateway/src/pool/opener.rs
@@ -1,4 +1,4 @@
-//! What opens a pool's connections.
+//! Opening of a pool's connections.
 
 use std::time::Duration;
 
@@ -8,20 +8,21 @@
 
 use crate::ports::ConnectError;
 
-/// Age up to which a relayed connection is used for other requests.
-pub(crate) const LONGEST_REUSE: Duration = Duration::from_millis(1_000);
+/// Age up to which a relayed connection is reused for other requests.
+pub(crate) const MAX_RELAYED_AGE: Duration = Duration::from_millis(1_000);
 
-/// A connection to an instance.
+/// A newly opened connection to an instance.
 pub(crate) struct Connected<C> {
     /// The connection.
     pub connection: C,
-    /// The region of the peer through which it goes, if it does.
+    /// Region of the peer that relays the connection; `None` if it is direct.
     pub relayed_through: Option<RegionName>,
 }
 
 /// Opens the connections of a pool.
 pub(crate) trait Opener<C>: Send + Sync + 'static {
-    /// Connects to an instance for a holder, through no node outside the regions.
+    /// Connects to an instance for a holder, directly or through a node in the allowed
+    /// regions.
     fn open(
         &self,
         instance: &Instance,
@@ -29,6 +30,6 @@
         regions: &AllowedRegions,
     ) -> impl Future<Output = Result<Connected<C>, ConnectError>> + Send;
 
-    /// A connection could not be made, or not in time.
+    /// Handles a connection that could not be opened, or not in time.
     fn open_failed(&self, instance: &Instance, error: ConnectError);
 }
--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -10,7 +10,7 @@
 //! # Invariants
 //!
 //! * A relayed connection is not used again once it is older than
-//!   [`crate::pool::LONGEST_REUSE`], so that a peer that stops loses it between requests.
+//!   [`crate::pool::MAX_RELAYED_AGE`], so that a peer that stops loses it between requests.
 //! * A peer relays to instances of its own directory only, for nodes that hold
 //!   the key between nodes, and starts nothing while it is leaving.
 //! * A connection for requests that may not leave some regions is relayed by a
