--- a/crates/linkhold-gateway/src/pool/mod.rs
+++ b/crates/linkhold-gateway/src/pool/mod.rs
@@ -310,8 +310,8 @@
     }
 
     /// Fails the waiters after a connection could not be opened, since the next attempt
-    /// would end alike. Where the instance refused or closed it, only the waiters of its
-    /// holder fail: others may still get a connection that is open.
+    /// would end alike. Where the instance may have no connection left, only the waiters
+    /// of `holder` fail: others may still get a connection that is open.
     fn fail_waiters(&self, holder: &ConnectionHolder, error: ConnectError) {
         let affects_all = match error {
             ConnectError::Unreachable | ConnectError::WrongInstance => true,
--- a/crates/linkhold-gateway/src/state/mod.rs
+++ b/crates/linkhold-gateway/src/state/mod.rs
@@ -27,4 +27,4 @@
 pub(crate) use reader_link::ReaderLink;
 pub(crate) use relays::{RelayPeer, Relays};
 pub(crate) use sources::{ReadReason, Sources};
-pub(crate) use warm_ups::{EntryKnown, WarmUps};
+pub(crate) use warm_ups::{KnownEntry, WarmUps};
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the warmth of instances.
+//! State of the warm-up of instances, as this node knows it.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -11,42 +11,44 @@
 
 use crate::beliefs::lock;
 
-/// What is known of one instance.
+/// Known warmth of one instance.
 #[derive(Default)]
-pub(crate) struct Known {
-    /// What proves that it is warm.
+pub(crate) struct KnownWarmth {
+    /// Proofs that the instance is warm.
     pub warmth: Warmth,
-    /// What this node sent it while it was not known warm.
+    /// Statements that this node sent while the instance was not known to be warm.
     pub sent: SecondCount,
-    /// Whether it was not known warm when it was looked at last.
+    /// Whether the instance was not known to be warm at the last check.
     is_held_off: bool,
-    /// Asks the one who watches it for a new answer.
-    pub doubt: Arc<Notify>,
+    /// Has the instance's watcher probe it at once.
+    pub needs_answer: Arc<Notify>,
 }
 
-impl Known {
-    /// Whether a statement may be sent uncounted on a connection.
+impl KnownWarmth {
+    /// Whether a statement may be sent without being counted, on a connection that was
+    /// opened at `opened_at`.
     pub fn is_warm_on(
         &mut self,
         opened_at: Instant,
         rules: &WarmUpRules,
-        entry: EntryKnown,
+        entry: KnownEntry,
         now: Instant,
     ) -> bool {
         self.may_be_warm(rules, entry, now) && self.warmth.is_proved_since(opened_at)
     }
 
-    /// Whether it is warm but for the age of the last proof. With the list of instances
-    /// unread while an instance was started again, its last life's entry let 97 statements
-    /// in a second through where 14 are allowed; with the instance cut off from the store, 160
-    /// where 10 are.
-    pub fn may_be_warm(&mut self, rules: &WarmUpRules, entry: EntryKnown, now: Instant) -> bool {
+    /// Whether the instance is warm, regardless of whether the last proof is newer than the
+    /// connection. The entry must be that of the instance's current incarnation: when an
+    /// instance restarted while the list of instances was not read, the entry of its
+    /// previous incarnation let 97 statements through in a second where 14 are allowed; when
+    /// it restarted cut off from the store, 160 where 10 are.
+    pub fn may_be_warm(&mut self, rules: &WarmUpRules, entry: KnownEntry, now: Instant) -> bool {
         self.warmth.entry_known(rules, entry.is_listed, entry.as_of);
         self.warmth.is_life_listed() && self.warmth.is_warm(rules, entry.says_cold, now)
     }
 
-    /// Logs that an instance is taken for warm, or no longer.
-    pub fn note_warmth(&mut self, instance: &Instance, is_warm: bool, says_cold: bool) {
+    /// Logs when an instance starts or ceases to count as warm.
+    pub fn log_warmth_change(&mut self, instance: &Instance, is_warm: bool, says_cold: bool) {
         if std::mem::replace(&mut self.is_held_off, !is_warm) != is_warm {
             return;
         }
@@ -59,26 +61,26 @@
     }
 }
 
-/// What an instance's entry says of its warmth.
+/// What is known of an instance's entry.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EntryKnown {
-    /// It is there.
+pub(crate) struct KnownEntry {
+    /// Whether the entry exists.
     pub is_listed: bool,
-    /// It says that the instance is cold.
+    /// Whether the entry states that the instance is cold.
     pub says_cold: bool,
-    /// The last moment as of which the entries are known.
+    /// The last time as of which the entries are known.
     pub as_of: Option<Instant>,
 }
 
-/// What this node knows of the warmth of instances.
+/// Known warmth of all instances of services with a limit for cold ones.
 #[derive(Default)]
 pub(crate) struct WarmUps {
-    instances: Mutex<HashMap<InstanceId, Known>>,
+    instances: Mutex<HashMap<InstanceId, KnownWarmth>>,
 }
 
 impl WarmUps {
-    /// Changes what is known of an instance.
-    pub fn update<T>(&self, id: &InstanceId, update: impl FnOnce(&mut Known) -> T) -> T {
+    /// Updates the known warmth of an instance.
+    pub fn update<T>(&self, id: &InstanceId, update: impl FnOnce(&mut KnownWarmth) -> T) -> T {
         let mut instances = lock(&self.instances);
         update(instances.entry(id.clone()).or_default())
     }
@@ -89,17 +91,18 @@
         lock(&self.instances).retain(|id, _| is_present(id));
     }
 
-    /// Another connection to an instance broke, or could not be made.
+    /// Requests a new proof after another connection to an instance broke or could not be
+    /// opened: the instance may have restarted.
     pub fn suspect_restart(&self, id: &InstanceId) {
         let mut instances = lock(&self.instances);
         if let Some(known) = instances.get_mut(id)
             && known.warmth.doubted(Instant::now())
         {
-            known.doubt.notify_one();
+            known.needs_answer.notify_one();
         }
     }
 
-    /// Instances that this node has sent to and that were not known warm then.
+    /// Number of instances that were not known to be warm when this node last sent to them.
     pub fn count_held_off(&self) -> usize {
         let instances = lock(&self.instances);
         instances.values().filter(|it| it.is_held_off).count()
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -1,8 +1,8 @@
-//! What reaches instances that have just started, from this node.
+//! Limits on the statements that this node sends to instances that have just started.
 //!
-//! [`linkhold_core::service::warm_up`] decides; this keeps what it decides by, and
-//! [`watch`] the connections that tell whether an instance was started again.
-//! Services whose configuration names no limit cost nothing here.
+//! [`linkhold_core::service::warm_up`] holds the rules; this module supplies their inputs,
+//! and [`watch`] keeps the connections that show whether an instance was restarted.
+//! Services without a limit in their configuration cost nothing here.
 
 mod watch;
 
@@ -14,34 +14,34 @@
 
 use crate::gateway::Gateway;
 use crate::ports::Platform;
-use crate::state::EntryKnown;
+use crate::state::KnownEntry;
 
 pub(crate) use watch::watch_instances;
 
-/// How long a new connection waits for a proof that the instance was not started
-/// again: three times the way between regions, there and back.
-const PROOF_TIME: Duration = Duration::from_millis(130);
-/// How often it looks.
-const PROOF_LOOK_INTERVAL: Duration = Duration::from_millis(5);
-/// When to come back where this node will not be one that sends.
-const ELSEWHERE_RETRY: Duration = Duration::from_millis(300);
+/// How long a new connection waits for a proof that the instance was not restarted: three
+/// times the round trip between regions.
+const PROOF_TIMEOUT: Duration = Duration::from_millis(130);
+/// How often a connection that waits for a proof checks for it.
+const PROOF_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time after which to retry where only other owners may send to the instance.
+const OTHER_OWNER_RETRY: Duration = Duration::from_millis(300);
 
 impl<P: Platform> Gateway<P> {
-    /// What the service of an instance allows it while it is cold.
+    /// The limit of an instance's service for cold instances; `None` if it has none.
     fn warm_up_limit(&self, instance: &Instance) -> Option<WarmUpLimit> {
         self.beliefs.limits(&instance.service)?.warm_up
     }
 
-    fn entry_known(&self, instance: &Instance) -> EntryKnown {
-        EntryKnown {
+    fn known_entry(&self, instance: &Instance) -> KnownEntry {
+        KnownEntry {
             is_listed: self.beliefs.is_listed(&instance.id),
             says_cold: self.beliefs.is_cold(&instance.id),
             as_of: self.beliefs.directory_as_of(),
         }
     }
 
-    /// Counts a statement that is about to be sent to an instance, or tells when
-    /// this node may send one.
+    /// Counts a statement that is about to be sent to an instance; `Err` holds the time
+    /// after which this node may send one.
     pub(crate) fn admit_to_instance(
         &self,
         instance: &Instance,
@@ -52,17 +52,17 @@
             return Ok(());
         };
         let rules = &self.settings.warm_up;
-        let standing = self.spender_standing(instance);
+        let standing = self.sender_rank(instance);
         let now = Instant::now();
-        let entry = self.entry_known(instance);
+        let entry = self.known_entry(instance);
         let admitted = self.warm_ups.update(&instance.id, |known| {
             let is_warm = known.is_warm_on(opened_at, rules, entry, now);
-            known.note_warmth(instance, is_warm, entry.says_cold);
+            known.log_warmth_change(instance, is_warm, entry.says_cold);
             if is_warm {
                 return Ok(());
             }
             if !warm_up::may_spend(standing) {
-                return Err(ELSEWHERE_RETRY);
+                return Err(OTHER_OWNER_RETRY);
             }
             known.sent.spend(now, rules.part(limit), is_urgent)
         });
@@ -72,43 +72,43 @@
         admitted
     }
 
-    /// Has an instance proved warm for a connection that was opened after the last
-    /// proof, if it was warm then.
+    /// Waits for a new proof that an instance is warm if it was warm at the last proof and
+    /// the connection was opened after that.
     pub(crate) async fn wait_for_warm_proof(&self, instance: &Instance, opened_at: Instant) {
         if self.warm_up_limit(instance).is_none() {
             return;
         }
-        let deadline = Instant::now() + PROOF_TIME;
+        let deadline = Instant::now() + PROOF_TIMEOUT;
         while self.needs_proof(instance, opened_at) && Instant::now() < deadline {
-            sleep(PROOF_LOOK_INTERVAL).await;
+            sleep(PROOF_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether only the age of the last proof speaks against an instance; the next
-    /// one is asked for.
+    /// Whether the instance counts as warm except that its last proof is older than the
+    /// connection. Requests the next proof if so.
     fn needs_proof(&self, instance: &Instance, opened_at: Instant) -> bool {
         let rules = &self.settings.warm_up;
-        let entry = self.entry_known(instance);
+        let entry = self.known_entry(instance);
         let now = Instant::now();
         self.warm_ups.update(&instance.id, |known| {
             let is_needed =
                 known.may_be_warm(rules, entry, now) && !known.warmth.is_proved_since(opened_at);
             if is_needed {
-                known.doubt.notify_one();
+                known.needs_answer.notify_one();
             }
             is_needed
         })
     }
 
     /// Waits until this node may send one more statement of an open transaction on a
-    /// connection, but no longer than `deadline`.
+    /// connection. Returns early if that would be after `deadline`.
     pub(crate) async fn wait_for_warm_up_allowance(
         &self,
         instance: &Instance,
         opened_at: Instant,
         deadline: Instant,
     ) {
-        while let Some(wait) = self.warm_up_wait(instance, opened_at) {
+        while let Some(wait) = self.allowance_wait(instance, opened_at) {
             let now = Instant::now();
             if now + wait >= deadline {
                 return;
@@ -117,22 +117,22 @@
         }
     }
 
-    fn warm_up_wait(&self, instance: &Instance, opened_at: Instant) -> Option<Duration> {
+    fn allowance_wait(&self, instance: &Instance, opened_at: Instant) -> Option<Duration> {
         let limit = self.warm_up_limit(instance)?;
         let rules = &self.settings.warm_up;
         let now = Instant::now();
-        let entry = self.entry_known(instance);
+        let entry = self.known_entry(instance);
         self.warm_ups.update(&instance.id, |known| {
             if known.is_warm_on(opened_at, rules, entry, now) {
                 return None;
             }
-            // Tried on a copy: it is counted where it is sent.
+            // Tried on a copy: the statement is counted when it is sent.
             let mut sent = known.sent.clone();
             sent.spend(now, rules.part(limit), true).err()
         })
     }
 
-    fn spender_standing(&self, instance: &Instance) -> SpenderStanding {
+    fn sender_rank(&self, instance: &Instance) -> SpenderStanding {
         let owners = self.pools.owners().of(instance);
         SpenderStanding {
             rank: owners.rank().filter(|_| self.fleet.knows_all()),
--- a/crates/linkhold-gateway/src/warm_up/watch.rs
+++ b/crates/linkhold-gateway/src/warm_up/watch.rs
@@ -1,5 +1,5 @@
-//! Watches the instances of services that bound what cold ones get, each by a
-//! connection of its own: a restart breaks it.
+//! Watches the instances of services that limit the load on cold instances, each over a
+//! connection of its own, which a restart breaks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 use crate::gateway::Gateway;
 use crate::ports::{BackendConnection, BackendConnector, Command, Platform};
 
-/// How often it is looked which instances are to be watched.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long an instance may take to connect, or to answer.
+/// How often the set of watched instances is updated.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long an instance may take to accept a connection or to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause before a connection is tried again.
+/// Mean pause before a reconnect.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(400);
 
-/// A task that ends with this.
+/// A task that is aborted when this is dropped.
 struct Watcher(JoinHandle<()>);
 
 impl Drop for Watcher {
@@ -30,15 +30,14 @@
     }
 }
 
-/// Watches those instances whose connections this node owns. Runs until the process
-/// ends.
+/// Watches the instances whose connections this node owns. Runs until the process ends.
 pub(crate) async fn watch_instances<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut watchers: HashMap<InstanceId, Watcher> = HashMap::new();
     loop {
-        sleep(LOOK_INTERVAL).await;
-        let bound = bound_instances(&gateway);
-        gateway.warm_ups.retain(&bound);
-        let wanted: Vec<Arc<Instance>> = bound
+        sleep(CHECK_INTERVAL).await;
+        let limited = limited_instances(&gateway);
+        gateway.warm_ups.retain(&limited);
+        let wanted: Vec<Arc<Instance>> = limited
             .into_iter()
             .filter(|instance| is_watched_here(&gateway, instance))
             .collect();
@@ -50,8 +49,8 @@
     }
 }
 
-/// Instances of services that bound what cold ones get.
-fn bound_instances<P: Platform>(gateway: &Gateway<P>) -> Vec<Arc<Instance>> {
+/// Instances of services that limit the load on cold instances.
+fn limited_instances<P: Platform>(gateway: &Gateway<P>) -> Vec<Arc<Instance>> {
     let Some(configuration) = gateway.beliefs.configuration() else {
         return Vec::new();
     };
@@ -67,11 +66,11 @@
     owners.includes_self && !gateway.is_leaving() && !gateway.beliefs.is_closed(instance)
 }
 
-/// Watches an instance until it is aborted.
+/// Watches an instance until the task is aborted.
 async fn watch<P: Platform>(gateway: Arc<Gateway<P>>, instance: Arc<Instance>) {
     let id = &instance.id;
-    // Dropped with the task, however it ends.
-    let _unwatch = Unwatch {
+    // Dropped with the task, whether it ends or is aborted.
+    let _guard = WatchGuard {
         gateway: &gateway,
         id,
     };
@@ -84,7 +83,7 @@
             gateway
                 .warm_ups
                 .update(id, |known| known.warmth.watched(opened_at));
-            ask_until_broken(&gateway, id, connection).await;
+            probe_until_broken(&gateway, id, connection).await;
             gateway
                 .warm_ups
                 .update(id, |known| known.warmth.unwatched());
@@ -93,12 +92,12 @@
     }
 }
 
-struct Unwatch<'a, P: Platform> {
+struct WatchGuard<'a, P: Platform> {
     gateway: &'a Gateway<P>,
     id: &'a InstanceId,
 }
 
-impl<P: Platform> Drop for Unwatch<'_, P> {
+impl<P: Platform> Drop for WatchGuard<'_, P> {
     fn drop(&mut self) {
         self.gateway
             .warm_ups
@@ -106,30 +105,32 @@
     }
 }
 
-async fn ask_until_broken<P: Platform>(
+async fn probe_until_broken<P: Platform>(
     gateway: &Gateway<P>,
     id: &InstanceId,
     mut connection: <P as BackendConnector>::Connection,
 ) {
-    // It takes none of the instance's slots.
-    let question = [
+    // An empty transaction takes none of the instance's slots.
+    let probe = [
         Command::Begin {
             read_only: true,
             fence: None,
         },
         Command::Rollback,
     ];
-    let doubt = gateway.warm_ups.update(id, |known| known.doubt.clone());
+    let needs_answer = gateway
+        .warm_ups
+        .update(id, |known| known.needs_answer.clone());
     loop {
         let sent_at = Instant::now();
-        let asking = timeout(ANSWER_TIMEOUT, connection.exchange(&question));
-        if !matches!(asking.await, Ok(Ok(_))) {
+        let answering = timeout(ANSWER_TIMEOUT, connection.exchange(&probe));
+        if !matches!(answering.await, Ok(Ok(_))) {
             return;
         }
         gateway
             .warm_ups
             .update(id, |known| known.warmth.answered(sent_at));
-        // A doubt is as good a reason to ask again as time passing.
-        let _ = timeout(QUESTION_INTERVAL, doubt.notified()).await;
+        // The next probe is due after the interval, or at once if an answer is needed.
+        let _ = timeout(QUESTION_INTERVAL, needs_answer.notified()).await;
     }
 }
