--- a/crates/linkhold-gateway/src/owners.rs
+++ b/crates/linkhold-gateway/src/owners.rs
@@ -1,4 +1,5 @@
-//! The owners of connections to instances, as this node sees the fleet.
+//! Owners of the connections to instances, as determined from this node's view of the
+//! fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,53 +20,53 @@
 /// The owners of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct InstanceOwners {
-    /// How many there are, this node included if it is one.
+    /// Number of owners, including this node if it is one.
     pub count: usize,
-    /// This node is one.
+    /// Whether this node is an owner.
     pub includes_self: bool,
-    /// All of them, in the order in which this node asks them for what is no
-    /// tenant's.
+    /// All owners, in the order in which this node asks them for statements of no tenant.
     members: Vec<Owner>,
-    /// The first of them in the order that all nodes share: they alone send to the
-    /// instance while it is cold.
+    /// The first owners in the order that all nodes share: only they send to the instance
+    /// while it is cold.
     senders: Vec<Owner>,
-    /// This node's place in that order.
+    /// This node's index in that order; `None` if it is not an owner.
     rank: Option<usize>,
 }
 
-/// An owner, and where it is.
+/// An owner of an instance's connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Owner {
     id: NodeId,
-    /// `None` is this node.
+    /// Address for other nodes; `None` for this node.
     address: Option<SocketAddr>,
     region: RegionName,
 }
 
 impl Owner {
-    /// Whether it may see the statements of a principal: this node does already.
+    /// Whether the owner may see a principal's statements. This node always may: it has
+    /// them already.
     fn may_serve(&self, principal: &Principal<'_>) -> bool {
         self.address.is_none() || principal.regions.permits(&self.region)
     }
 }
 
-/// Owners that may be handed a statement, in the order in which they are asked.
-/// Nothing else makes one, so no statement is handed to a node of a region that
-/// its request does not allow.
+/// Addresses of owners that may be handed a statement, in the order in which they are
+/// asked. Only [`InstanceOwners`] constructs it, so no statement is handed to a node in a
+/// region that its request does not allow.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PermittedOwners(Vec<SocketAddr>);
 
 impl PermittedOwners {
-    /// Their addresses.
+    /// The addresses, in order.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.0
     }
 }
 
 impl InstanceOwners {
-    /// Owners whom this node asks to run a statement before it uses a connection of
-    /// its own. All nodes ask the owners in the same order for a tenant, so that
-    /// its few connections are in one place.
+    /// Owners that this node asks to run a statement before it uses a connection of its
+    /// own. For a tenant, all nodes ask the owners in the same order, so that its few
+    /// connections are at one owner.
     pub fn permitted(&self, principal: &Principal<'_>) -> PermittedOwners {
         let members = self.members.iter();
         let permitted: Vec<&Owner> = members.filter(|it| it.may_serve(principal)).collect();
@@ -77,26 +78,27 @@
         PermittedOwners(asked)
     }
 
-    /// As [`InstanceOwners::permitted`], for an instance that is cold.
+    /// Like [`InstanceOwners::permitted`], for an instance that is cold.
     pub fn permitted_senders(&self, principal: &Principal<'_>) -> PermittedOwners {
         let senders = self.senders.iter();
         let permitted = senders.filter(|it| it.may_serve(principal));
         PermittedOwners(permitted.map_while(|owner| owner.address).collect())
     }
 
-    /// This node's place among the owners, in the order that all nodes share.
+    /// This node's index among the owners, in the order that all nodes share; `None` if it
+    /// is not an owner.
     pub fn rank(&self) -> Option<usize> {
         self.rank
     }
 
-    /// The other owners, for questions that carry nothing of a request.
+    /// Addresses of all other owners, for questions that carry no data of a request.
     pub fn others(&self) -> Vec<SocketAddr> {
         let addresses = self.members.iter().map(|owner| owner.address);
         addresses.flatten().collect()
     }
 }
 
-/// Owners that come before this node in a tenant's order.
+/// Addresses of the owners that come before this node in a tenant's order.
 fn in_order_of(tenant: &TenantName, owners: &[&Owner]) -> Vec<SocketAddr> {
     let ids: Vec<NodeId> = owners.iter().map(|owner| owner.id).collect();
     let order = owners::tenant_preference(tenant, &ids);
@@ -109,39 +111,39 @@
 
 #[derive(Default)]
 struct State {
-    nodes: Vec<Known>,
+    nodes: Vec<OwnerCandidate>,
     by_instance: HashMap<InstanceId, Arc<InstanceOwners>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Known {
+struct OwnerCandidate {
     id: NodeId,
     zone: Arc<str>,
     address: SocketAddr,
 }
 
-/// Knows the owners of every instance.
+/// The owners of every instance, determined on demand and cached.
 pub(crate) struct Owners {
     own: NodeId,
-    places: Places,
+    zone_map: Places,
     state: Mutex<State>,
 }
 
 impl Owners {
-    /// No node is known.
-    pub fn new(own: NodeId, places: Places) -> Self {
+    /// Creates an instance that knows no nodes.
+    pub fn new(own: NodeId, zone_map: Places) -> Self {
         Self {
             own,
-            places,
+            zone_map,
             state: Mutex::default(),
         }
     }
 
-    /// Takes in the nodes that can own connections.
+    /// Sets the nodes that can own connections.
     pub fn set_nodes<'a>(&self, nodes: impl Iterator<Item = &'a FeedNode>) {
-        let nodes: Vec<Known> = nodes
+        let nodes: Vec<OwnerCandidate> = nodes
             .filter_map(|node| {
-                Some(Known {
+                Some(OwnerCandidate {
                     id: NodeId::of_name(&node.name),
                     zone: node.zone.as_str().into(),
                     address: node.address?,
@@ -158,30 +160,32 @@
     /// The owners of an instance.
     pub fn of(&self, instance: &Instance) -> Arc<InstanceOwners> {
         let mut state = lock(&self.state);
-        if let Some(known) = state.by_instance.get(&instance.id) {
-            return known.clone();
+        if let Some(cached) = state.by_instance.get(&instance.id) {
+            return cached.clone();
         }
-        let found = Arc::new(self.choose(&state.nodes, instance));
-        state.by_instance.insert(instance.id.clone(), found.clone());
-        found
+        let determined = Arc::new(self.determine(&state.nodes, instance));
+        state
+            .by_instance
+            .insert(instance.id.clone(), determined.clone());
+        determined
     }
 
-    /// An instance is gone.
+    /// Forgets the owners of an instance that was removed.
     pub fn forget(&self, id: &InstanceId) {
         lock(&self.state).by_instance.remove(id);
     }
 
-    /// Owners are of the instance's zone if it has enough nodes, else of its
-    /// region, or of anywhere if that has none.
-    fn choose(&self, nodes: &[Known], instance: &Instance) -> InstanceOwners {
-        let region = self.places.region(&instance.zone);
-        let in_zone: Vec<&Known> = nodes
+    /// Determines the owners of an instance: nodes of its zone if there are enough, else
+    /// of its region, or of anywhere if the region has none.
+    fn determine(&self, nodes: &[OwnerCandidate], instance: &Instance) -> InstanceOwners {
+        let region = self.zone_map.region(&instance.zone);
+        let in_zone: Vec<&OwnerCandidate> = nodes
             .iter()
             .filter(|node| node.zone == instance.zone)
             .collect();
-        let in_region: Vec<&Known> = nodes
+        let in_region: Vec<&OwnerCandidate> = nodes
             .iter()
-            .filter(|node| self.places.region(&node.zone) == region)
+            .filter(|node| self.zone_map.region(&node.zone) == region)
             .collect();
         let nearby = if in_zone.len() >= owners::OWNERS {
             in_zone
@@ -196,7 +200,7 @@
             Some(Owner {
                 id: node.id,
                 address: (node.id != self.own).then_some(node.address),
-                region: self.places.region(&node.zone),
+                region: self.zone_map.region(&node.zone),
             })
         };
         let order = owners::preference(self.own, &chosen);
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of all instances and the share of connections this node may use.
+//! The connection pools of all instances, and this node's share of the connections.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,38 +16,39 @@
 use crate::ports::BackendConnection;
 use crate::settings::GatewaySettings;
 
-/// Nodes assumed to share the connections until the fleet is known.
+/// Number of nodes assumed to share the connections until the fleet is known.
 const ASSUMED_NODES: usize = 9;
 
 /// All pools of a node.
 pub struct Pools<C> {
     pools: Mutex<HashMap<InstanceId, Arc<Pool<C>>>>,
-    /// How many nodes share the connections, this one included.
+    /// Number of nodes that share the connections, including this one.
     nodes: AtomicUsize,
     owners: Owners,
-    started: Instant,
-    /// Some service has so many nodes that connections are closed when unused.
+    started_at: Instant,
+    /// Whether few nodes own the connections to some instance, so that unused ones are
+    /// closed.
     is_crowded: AtomicBool,
 }
 
-/// How long connections of this node's last life may still stand: an instance
-/// drops those whose far end has gone dark after some seconds.
-const LAST_LIFE: Duration = Duration::from_millis(3_300);
+/// How long connections of this node's previous incarnation may stay open: an instance
+/// drops a connection some seconds after its other end went silent.
+const PREVIOUS_CONNECTIONS_TIME: Duration = Duration::from_millis(3_300);
 
 impl<C: BackendConnection> Pools<C> {
-    /// No pools yet.
+    /// Creates an empty set of pools.
     pub fn new(settings: &GatewaySettings) -> Self {
         let own = NodeId::of_name(&settings.node);
         Self {
             pools: Mutex::default(),
             nodes: AtomicUsize::new(ASSUMED_NODES),
             owners: Owners::new(own, settings.places.clone()),
-            started: Instant::now(),
+            started_at: Instant::now(),
             is_crowded: AtomicBool::new(false),
         }
     }
 
-    /// The pool of an instance.
+    /// The pool of an instance, created on first use.
     pub fn pool(&self, instance: &Arc<Instance>, beliefs: &Beliefs) -> Arc<Pool<C>> {
         if let Some(pool) = lock(&self.pools).get(&instance.id) {
             return pool.clone();
@@ -58,19 +59,19 @@
         pool
     }
 
-    /// Who owns the connections to an instance; `None` if all nodes hold some: they
-    /// are enough, and cold instances may get anything.
+    /// The owners of the connections to an instance; `None` if all nodes hold some, which
+    /// is so if there are enough of them and the service has no warm-up limit.
     pub(crate) fn designated_owners(
         &self,
         instance: &Instance,
         beliefs: &Beliefs,
     ) -> Option<Arc<InstanceOwners>> {
         let limits = beliefs.limits(&instance.service);
-        let most = most_connections(limits);
+        let limit = connection_limit(limits);
         let nodes = self.nodes.load(Ordering::Relaxed);
-        // Few know whether an instance is warm.
+        // Only owners know whether an instance is warm.
         let has_warm_up = limits.is_some_and(|limits| limits.warm_up.is_some());
-        if !has_warm_up && !connection_share::is_crowded(most, nodes) {
+        if !has_warm_up && !connection_share::is_crowded(limit, nodes) {
             return None;
         }
         let owners = self.owners.of(instance);
@@ -83,28 +84,28 @@
     }
 
     fn share(&self, instance: &Instance, beliefs: &Beliefs) -> Share {
-        let most = most_connections(beliefs.limits(&instance.service));
+        let limit = connection_limit(beliefs.limits(&instance.service));
         let nodes = self.nodes.load(Ordering::Relaxed);
         let Some(owners) = self.designated_owners(instance, beliefs) else {
-            let has_just_started = self.started.elapsed() < LAST_LIFE;
-            return connection_share::equal(most, nodes, has_just_started);
+            let has_just_started = self.started_at.elapsed() < PREVIOUS_CONNECTIONS_TIME;
+            return connection_share::equal(limit, nodes, has_just_started);
         };
         self.is_crowded.store(true, Ordering::Relaxed);
         if owners.includes_self {
-            connection_share::of_owner(most, owners.count)
+            connection_share::of_owner(limit, owners.count)
         } else {
-            connection_share::without_owner(most)
+            connection_share::without_owner(limit)
         }
     }
 
-    /// Takes in a new number of nodes.
+    /// Sets the number of nodes and recomputes all shares.
     pub fn set_node_count(&self, nodes: usize, beliefs: &Beliefs) {
         self.nodes.store(nodes, Ordering::Relaxed);
         self.refresh_shares(beliefs);
     }
 
-    /// Works out all shares anew: limits may have changed, or the node is no
-    /// longer a new one.
+    /// Recomputes all shares: limits may have changed, or the node may no longer count as
+    /// just started.
     pub fn refresh_shares(&self, beliefs: &Beliefs) {
         self.is_crowded.store(false, Ordering::Relaxed);
         let pools: Vec<Arc<Pool<C>>> = lock(&self.pools).values().cloned().collect();
@@ -128,25 +129,25 @@
         }
     }
 
-    /// Whether connections that are not used are to be closed soon.
+    /// Whether unused connections are to be closed.
     pub fn is_crowded(&self) -> bool {
         self.is_crowded.load(Ordering::Relaxed)
     }
 
-    /// Closes connections that have not been used for a while, but for those
-    /// that are kept ready.
+    /// Closes connections that have not been used for a while, except for those that are
+    /// kept ready.
     pub fn close_unused(&self) {
         for pool in lock(&self.pools).values() {
             pool.close_unused();
         }
     }
 
-    /// Connections opened since the start, over all present pools.
+    /// Number of connections opened since the start, over all present pools.
     pub fn opened(&self) -> usize {
         lock(&self.pools).values().map(|pool| pool.opened()).sum()
     }
 
-    /// Connections open now.
+    /// Number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         lock(&self.pools)
             .values()
@@ -155,6 +156,6 @@
     }
 }
 
-fn most_connections(limits: Option<ServiceLimits>) -> usize {
+fn connection_limit(limits: Option<ServiceLimits>) -> usize {
     limits.map_or(connection_share::UNKNOWN_LIMIT, |it| it.max_connections)
 }
