--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -1,22 +1,21 @@
-//! Connections to a primary that this node does not reach, through a node that
-//! does.
+//! Relayed connections: connections to a primary that this node does not reach, through a
+//! node that does.
 //!
-//! A partition may leave a primary with some nodes only. It is not replaced,
-//! since it goes on acknowledging commits; a node on the other side opens its
-//! connections through a peer that answered that it reaches the primary. The
-//! peer passes bytes on and decides nothing: whatever a broken connection
-//! proves or leaves open holds for a relayed one as well.
+//! After a partition, only some nodes may reach a primary. It is not replaced, since it
+//! goes on acknowledging commits; a node on the other side opens its connections through a
+//! peer that answered that it reaches the primary. The peer only passes bytes on: whatever
+//! a broken connection proves or leaves open holds for a relayed one as well.
 //!
 //! # Invariants
 //!
-//! * A relayed connection is not used again once it is older than
+//! * A relayed connection is not reused once it is older than
 //!   [`crate::pool::MAX_RELAYED_AGE`], so that a peer that stops loses it between requests.
-//! * A peer relays to instances of its own directory only, for nodes that hold
-//!   the key between nodes, and starts nothing while it is leaving.
-//! * A connection for requests that may not leave some regions is relayed by a
-//!   peer of these alone.
-//! * A peer that agrees to the replacement of a primary breaks what it relays to it.
-//!   Those whom it serves agree as well: it may not have been asked.
+//! * A peer relays only to instances of its own directory and for nodes that hold the
+//!   fleet's key, and starts no relay while it is leaving.
+//! * A connection for requests that are restricted to some regions is relayed only by a
+//!   peer in these regions.
+//! * A peer that agrees to the replacement of a primary closes what it relays to it. The
+//!   nodes that it relays for agree as well, since the peer may not have been asked.
 
 use std::io;
 use std::net::SocketAddr;
@@ -39,13 +38,13 @@
 use crate::pool::{Connected, Opener};
 use crate::ports::{BackendConnector, ConnectError, Platform};
 
-/// How long a peer may take to connect to the instance and say so.
+/// How long a peer may take to connect to the instance and confirm it.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest life of a connection that is relayed for another node: one whose
-/// other end has gone dark does not stand for ever.
-const LONGEST_RELAY: Duration = Duration::from_secs(30);
-/// How often it is looked whether what is relayed may go on.
-const BARRED_LOOK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a connection is relayed for another node at most, so that one whose other end
+/// went silent does not stay open forever.
+const MAX_RELAY_TIME: Duration = Duration::from_secs(30);
+/// How often a relay checks whether it may go on.
+const FORBIDDEN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<P: Platform> Opener<<P as BackendConnector>::Connection> for Gateway<P> {
     async fn open(
@@ -62,8 +61,8 @@
     }
 }
 
-/// Connects to an instance: directly, or through a peer in the allowed regions
-/// where this node does not reach it.
+/// Connects to an instance: directly or, if this node does not reach it, through a peer in
+/// the allowed regions.
 async fn connect<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
@@ -81,14 +80,14 @@
     let peer = peer.ok_or(ConnectError::Unreachable)?;
     let connected = connect_through(gateway, instance, holder, peer.address).await;
     match &connected {
-        Ok(_) => gateway.relays.connected(&instance.id),
+        Ok(_) => gateway.relays.extend(&instance.id),
         Err(error) => {
             Event::info("relay_failed")
                 .field("instance", &instance.id)
                 .field("peer", peer.address)
                 .field("error", error)
                 .log();
-            gateway.relays.failed(&instance.id, peer.address);
+            gateway.relays.remove_peer(&instance.id, peer.address);
         }
     }
     Ok(Connected {
@@ -104,8 +103,8 @@
     peer: SocketAddr,
 ) -> Result<<P as BackendConnector>::Connection, ConnectError> {
     let key = gateway.fleet.key().ok_or(ConnectError::Unreachable)?;
-    let asking = ask_for_relay(peer, &instance.id, &key);
-    let stream = timeout(ACCEPT_TIMEOUT, asking)
+    let requesting = request_relay(peer, &instance.id, &key);
+    let stream = timeout(ACCEPT_TIMEOUT, requesting)
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
         .map_err(|_| ConnectError::Unreachable)?;
@@ -115,7 +114,7 @@
         .await
 }
 
-async fn ask_for_relay(peer: SocketAddr, id: &InstanceId, key: &PeerKey) -> io::Result<TcpStream> {
+async fn request_relay(peer: SocketAddr, id: &InstanceId, key: &PeerKey) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(peer).await?;
     stream.set_nodelay(true)?;
     write_message(&mut stream, &FeedMessage::RelayRequest(id.clone()), key).await?;
@@ -132,20 +131,20 @@
     id: &InstanceId,
     key: &PeerKey,
 ) {
-    let Some(_serving) = gateway.relays.start_serving() else {
+    let Some(_guard) = gateway.relays.start_relay() else {
         return;
     };
     let Some(instance) = gateway.beliefs.instance(id) else {
         return;
     };
-    if gateway.is_leaving() || is_barred(gateway, &instance) {
+    if gateway.is_leaving() || is_relaying_forbidden(gateway, &instance) {
         return;
     }
     let connecting = timeout(ACCEPT_TIMEOUT, TcpStream::connect(instance.address));
     let Ok(Ok(mut onward)) = connecting.await else {
         return;
     };
-    // A socket that refuses it still works, only later.
+    // A socket that refuses the option still works, with more latency.
     let _ = onward.set_nodelay(true);
     if write_message(&mut stream, &FeedMessage::RelayAccepted, key)
         .await
@@ -154,18 +153,18 @@
         return;
     }
     gateway.metrics.relays_served.add();
-    // However it ends, both sides are closed.
+    // Both sides are closed, whatever ends the relay.
     tokio::select! {
-        _ = timeout(LONGEST_RELAY, copy_bidirectional(&mut stream, &mut onward)) => {}
-        () = until_barred(gateway, &instance) => {}
+        _ = timeout(MAX_RELAY_TIME, copy_bidirectional(&mut stream, &mut onward)) => {}
+        () = until_forbidden(gateway, &instance) => {}
     }
 }
 
-/// Whether nothing may pass to an instance any more: this node has agreed to
-/// acknowledge nothing of it, or its zone is evacuated.
-fn is_barred<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
+/// Whether nothing may be relayed to an instance any more: this node has agreed to
+/// acknowledge nothing that it commits, or its zone is evacuated.
+fn is_relaying_forbidden<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
     let beliefs = &gateway.beliefs;
-    // The regions of what passes are the asking node's to look after.
+    // The asking node checks the regions of its requests.
     let everywhere = AllowedRegions::Everywhere;
     beliefs.is_withheld(&instance.id)
         || beliefs
@@ -173,17 +172,17 @@
             .is_err()
 }
 
-async fn until_barred<P: Platform>(gateway: &Gateway<P>, instance: &Instance) {
+async fn until_forbidden<P: Platform>(gateway: &Gateway<P>, instance: &Instance) {
     let mut changes = gateway.beliefs.subscribe();
-    while !is_barred(gateway, instance) {
-        // An evacuated zone closes as time passes.
-        let _ = timeout(BARRED_LOOK_INTERVAL, changes.changed()).await;
+    while !is_relaying_forbidden(gateway, instance) {
+        // An evacuated zone becomes ineligible as time passes, without a change.
+        let _ = timeout(FORBIDDEN_CHECK_INTERVAL, changes.changed()).await;
     }
 }
 
-/// Tries the direct way to instances whose connections are relayed.
+/// Tries to connect directly to instances whose connections are relayed.
 pub(crate) fn try_direct_connections<P: Platform>(gateway: &Arc<Gateway<P>>) {
-    for id in gateway.relays.due_for_direct_trial() {
+    for id in gateway.relays.due_for_direct_attempt() {
         let Some(instance) = gateway.beliefs.instance(&id) else {
             continue;
         };
--- a/crates/linkhold-gateway/src/state/relays.rs
+++ b/crates/linkhold-gateway/src/state/relays.rs
@@ -1,4 +1,4 @@
-//! Peers through which instances are reached, and what is relayed for others.
+//! Peers through which instances are reached, and relays for other nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 
 use crate::beliefs::lock;
 
-/// How long a peer stays chosen after a connection through it was made.
-const PATH_LIFE: Duration = Duration::from_millis(3_000);
-/// How often the direct way is tried while connections are relayed.
-const DIRECT_TRIAL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Peers that connections are spread over: those that answered first.
-const MOST_PEERS: usize = 3;
-/// Connections that are relayed for other nodes at a time.
-const MOST_RELAYS: usize = 64;
+/// How long the peers of an instance stay in use after a connection through one was made.
+const PATH_LIFETIME: Duration = Duration::from_millis(3_000);
+/// How often a direct connection is tried while connections are relayed.
+const DIRECT_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Maximum number of peers that connections are spread over: the first that answered.
+const MAX_PEERS: usize = 3;
+/// Maximum number of connections relayed for other nodes at a time.
+const MAX_RELAYS: usize = 64;
 
 /// Peers through which an instance is reached.
 struct Path {
@@ -31,36 +31,38 @@
 /// A peer that relays, and its region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RelayPeer {
-    /// Where it is reached.
+    /// Address of the peer.
     pub address: SocketAddr,
-    /// Where it stands; empty if that is not known.
+    /// Region of the peer; empty if unknown.
     pub region: RegionName,
 }
 
-/// What a node relays, and for which instances it needs that.
+/// Paths to instances that this node reaches through peers, and the number of connections
+/// that it relays for other nodes.
 #[derive(Default)]
 pub(crate) struct Relays {
     paths: Mutex<HashMap<InstanceId, Path>>,
-    serving: AtomicUsize,
+    relayed_count: AtomicUsize,
 }
 
 impl Relays {
-    /// Peers reach an instance that this node does not.
-    /// Those of the instance's own region come first, since every request that may
-    /// run there may pass through them.
+    /// Sets the peers that reach an instance which this node does not reach.
+    /// Those in the instance's own region come first, since every request that may run
+    /// there may pass through them.
     pub fn set_peers(&self, id: &InstanceId, instance_region: &str, mut peers: Vec<RelayPeer>) {
         peers.sort_by_key(|peer| &*peer.region != instance_region);
-        peers.truncate(MOST_PEERS);
+        peers.truncate(MAX_PEERS);
         let now = Instant::now();
         let path = Path {
             peers,
-            until: now + PATH_LIFE,
+            until: now + PATH_LIFETIME,
             direct_tried_at: now,
         };
         lock(&self.paths).insert(id.clone(), path);
     }
 
-    /// The instance is reached directly, or by nobody.
+    /// Ends relaying to an instance that is reached directly, or by no node. Returns whether
+    /// its connections were relayed.
     pub fn forget(&self, id: &InstanceId) -> bool {
         lock(&self.paths).remove(id).is_some()
     }
@@ -72,17 +74,17 @@
         path.is_some_and(|path| Instant::now() < path.until)
     }
 
-    /// Starts to relay for another node; `None` if too many are relayed.
-    pub fn start_serving(&self) -> Option<Serving<'_>> {
-        Serving::start(&self.serving)
+    /// Counts a new relay for another node; `None` if there are too many.
+    pub fn start_relay(&self) -> Option<RelayGuard<'_>> {
+        RelayGuard::start(&self.relayed_count)
     }
 
-    /// Connections that are relayed for other nodes.
+    /// Number of connections relayed for other nodes.
     pub fn relayed_connections(&self) -> usize {
-        self.serving.load(Ordering::Relaxed)
+        self.relayed_count.load(Ordering::Relaxed)
     }
 
-    /// One of the peers in the allowed regions; `None` if there is none.
+    /// A random peer in the allowed regions; `None` if there is none.
     pub fn peer(&self, id: &InstanceId, regions: &AllowedRegions) -> Option<RelayPeer> {
         let paths = lock(&self.paths);
         let path = paths.get(id)?;
@@ -92,21 +94,21 @@
         permitted.choose(&mut rand::rng()).copied().cloned()
     }
 
-    /// Whether an instance is reached through peers of which none may see a request
-    /// of these regions.
+    /// Whether an instance is reached only through peers of which none is in the allowed
+    /// regions.
     pub fn has_no_permitted_peer(&self, id: &InstanceId, regions: &AllowedRegions) -> bool {
         self.is_relayed(id) && self.peer(id, regions).is_none()
     }
 
-    /// A connection through a peer was made.
-    pub fn connected(&self, id: &InstanceId) {
+    /// Keeps an instance's peers in use after a connection through one was made.
+    pub fn extend(&self, id: &InstanceId) {
         if let Some(path) = lock(&self.paths).get_mut(id) {
-            path.until = Instant::now() + PATH_LIFE;
+            path.until = Instant::now() + PATH_LIFETIME;
         }
     }
 
-    /// A connection through a peer could not be made.
-    pub fn failed(&self, id: &InstanceId, peer: SocketAddr) {
+    /// Removes a peer through which a connection could not be made.
+    pub fn remove_peer(&self, id: &InstanceId, peer: SocketAddr) {
         let mut paths = lock(&self.paths);
         let Some(path) = paths.get_mut(id) else {
             return;
@@ -117,14 +119,14 @@
         }
     }
 
-    /// Instances whose direct way is to be tried now.
-    pub fn due_for_direct_trial(&self) -> Vec<InstanceId> {
+    /// Instances to which a direct connection is to be tried now.
+    pub fn due_for_direct_attempt(&self) -> Vec<InstanceId> {
         let now = Instant::now();
         let mut paths = lock(&self.paths);
         paths.retain(|_, path| now < path.until);
         let due = paths
             .iter_mut()
-            .filter(|(_, path)| now >= path.direct_tried_at + DIRECT_TRIAL_INTERVAL);
+            .filter(|(_, path)| now >= path.direct_tried_at + DIRECT_ATTEMPT_INTERVAL);
         due.map(|(id, path)| {
             path.direct_tried_at = now;
             id.clone()
@@ -134,18 +136,18 @@
 }
 
 /// Counts a relayed connection until it is dropped.
-pub(crate) struct Serving<'a>(&'a AtomicUsize);
+pub(crate) struct RelayGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Serving<'a> {
+impl<'a> RelayGuard<'a> {
     /// `None` if there are too many.
     fn start(count: &'a AtomicUsize) -> Option<Self> {
         let before = count.fetch_add(1, Ordering::Relaxed);
-        let serving = Self(count);
-        (before < MOST_RELAYS).then_some(serving)
+        let guard = Self(count);
+        (before < MAX_RELAYS).then_some(guard)
     }
 }
 
-impl Drop for Serving<'_> {
+impl Drop for RelayGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
