--- a/crates/linkhold-peer/src/datagram.rs
+++ b/crates/linkhold-peer/src/datagram.rs
@@ -1,7 +1,7 @@
 //! Datagrams between nodes: questions about primaries, and budgets of tenants.
 //!
-//! Both kinds come to one socket; variants of [`BudgetMessage`] are numbered
-//! apart from those of [`ReachabilityMessage`].
+//! Both kinds arrive on one socket, so the variants of [`BudgetMessage`] and of
+//! [`ReachabilityMessage`] have distinct numbers.
 
 use minicbor::{Decode, Encode};
 
@@ -10,23 +10,23 @@
 /// A message between a node and a tenant's coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum BudgetMessage {
-    /// A node asks for operations.
+    /// Asks the coordinator for operations.
     #[n(10)]
     Question {
-        /// Told back in the answer.
+        /// Number that the answer repeats.
         #[n(0)]
         number: u64,
         /// The tenant.
         #[n(1)]
         tenant: String,
-        /// Operations that are wanted.
+        /// Number of operations wanted.
         #[n(2)]
         wanted: u64,
         /// Operations of earlier grants that certainly did not run.
         #[n(3)]
         unused: u64,
-        /// What the node had of the first coordinator, which it does not reach, in
-        /// thousandths of operations a second; `None` if it asks the first.
+        /// Rate that the node had from the first coordinator, which it does not reach, in
+        /// thousandths of operations per second; `None` if it asks the first.
         #[n(4)]
         inherited: Option<u64>,
     },
@@ -36,10 +36,10 @@
         /// The question's number.
         #[n(0)]
         number: u64,
-        /// Operations that are granted.
+        /// Number of operations granted.
         #[n(1)]
         amount: u64,
-        /// When to ask again if there was none, in milliseconds.
+        /// Time after which to ask again if none was granted, in milliseconds.
         #[n(2)]
         retry_after_ms: u64,
     },
@@ -49,11 +49,11 @@
         /// The question's number.
         #[n(0)]
         number: u64,
-        /// Where it is reached.
+        /// Address of the coordinator.
         #[n(1)]
         address: String,
     },
-    /// The sender is the tenant's coordinator now.
+    /// The sender has replaced the receiver as the tenant's coordinator.
     #[n(13)]
     Displaced {
         /// The tenant.
@@ -62,12 +62,12 @@
     },
 }
 
-/// What one datagram holds.
+/// The message in one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Datagram {
-    /// About the reachability of an instance.
+    /// A message about the reachability of an instance.
     Reachability(ReachabilityMessage),
-    /// About a tenant's budget.
+    /// A message about a tenant's budget.
     Budget(BudgetMessage),
 }
 
@@ -77,7 +77,7 @@
     key.seal(&body)
 }
 
-/// Decodes a datagram.
+/// Checks and decodes a datagram.
 pub fn decode_datagram(bytes: &[u8], key: &PeerKey) -> Result<Datagram, PeerError> {
     let body = key.open(bytes, MAX_DATAGRAM)?;
     if let Ok(message) = minicbor::decode(body) {
--- a/crates/linkhold-peer/src/feed/configuration.rs
+++ b/crates/linkhold-peer/src/feed/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration as it is encoded.
+//! Encoding of a configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -152,15 +152,15 @@
             burst: limit.burst,
         }),
     });
-    // What is wrong with them was told by the node that read them.
+    // The node that read the tenants has reported what is wrong with them.
     Tenancy::new(tenants).0
 }
 
 fn route_to_wire(database: &str, route: &Route) -> WireRoute {
     let (consistency, staleness) = match route.consistency {
         Consistency::Latest => (LATEST, Duration::ZERO),
-        Consistency::BoundedStaleness(most) => (BOUNDED, most),
-        Consistency::ReadYourWrites(most) => (READ_YOUR_WRITES, most),
+        Consistency::BoundedStaleness(max_staleness) => (BOUNDED, max_staleness),
+        Consistency::ReadYourWrites(max_staleness) => (READ_YOUR_WRITES, max_staleness),
     };
     WireRoute {
         database: database.to_owned(),
--- a/crates/linkhold-peer/src/feed/fleet.rs
+++ b/crates/linkhold-peer/src/feed/fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes as they are encoded.
+//! Encoding of nodes.
 
 use minicbor::{Decode, Encode};
 
--- a/crates/linkhold-peer/src/feed/instances.rs
+++ b/crates/linkhold-peer/src/feed/instances.rs
@@ -1,4 +1,4 @@
-//! Instances as they are encoded.
+//! Encoding of instances.
 
 use std::time::Duration;
 
--- a/crates/linkhold-peer/src/feed/leases.rs
+++ b/crates/linkhold-peer/src/feed/leases.rs
@@ -1,4 +1,4 @@
-//! Leases that nodes claimed, and what is kept of earlier promotions, as they are encoded.
+//! Encoding of recently claimed leases and of the records of earlier promotions.
 
 use std::time::Duration;
 
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -11,57 +11,56 @@
 use linkhold_core::service::permission::RecentClaim;
 use linkhold_core::service::store_place::StorePlace;
 
-/// A node as a reader knows it.
+/// A node, as known to a reader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedNode {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where other nodes reach it.
+    /// Address for other nodes, if it has one.
     pub address: Option<SocketAddr>,
-    /// Bandwidth of its link in Mbit/s; 0 if it tells none.
+    /// Bandwidth of its link in Mbit/s; 0 if unknown.
     pub bandwidth: u32,
 }
 
-/// The fleet as a reader tells it.
+/// The fleet, as a reader sends it to its followers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedFleet {
-    /// Nodes in all.
+    /// Total number of nodes.
     pub size: usize,
-    /// Nodes that read the store for others, of all regions.
+    /// Nodes of all regions that read the store for others.
     pub readers: Vec<FeedNode>,
     /// The nodes of the fleet.
     pub nodes: Vec<FeedNode>,
 }
 
-/// What has changed in the fleet since a reader told it last on the same stream.
+/// Changes of the fleet since the reader last sent it on the same stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedFleetChanges {
-    /// Nodes in all.
+    /// Total number of nodes.
     pub size: usize,
-    /// Nodes that read the store for others, if they are others than before.
+    /// Nodes of all regions that read the store for others; `None` if unchanged.
     pub readers: Option<Vec<FeedNode>>,
     /// Nodes that are new or have changed.
     pub changed: Vec<FeedNode>,
-    /// Names of nodes that are gone.
+    /// Names of nodes that were removed.
     pub removed: Vec<String>,
 }
 
-/// All instances, as a reader knows them.
+/// All instances, as known to a reader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedInstances {
-    /// The place in the store's changes up to which they were read.
+    /// Revision of the store up to which the instances were read.
     pub revision: StorePlace,
     /// Each instance, and whether it is still listed.
     pub instances: Vec<(Instance, bool)>,
 }
 
-/// What has changed among the instances since a reader told them last on the same
-/// stream.
+/// Changes of the instances since the reader last sent them on the same stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedInstanceChanges {
-    /// The place in the store's changes up to which they were read.
+    /// Revision of the store up to which the instances were read.
     pub revision: StorePlace,
     /// Instances that are new or have changed, and whether they are listed.
     pub changed: Vec<(Instance, bool)>,
@@ -69,19 +68,19 @@
     pub removed: Vec<InstanceId>,
 }
 
-/// The zones that are evacuated, as a reader knows them.
+/// The evacuated zones, as known to a reader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedEvacuations {
-    /// The place in the store's changes up to which they were read.
+    /// Revision of the store up to which the zones were read.
     pub revision: StorePlace,
     /// The zones.
     pub zones: Vec<ZoneName>,
 }
 
-/// A follower asks how far a service's log had come.
+/// A follower's question for evidence of the position that a service's log has reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvidenceQuestion {
-    /// Ties the answer to it.
+    /// Number that the answer repeats.
     pub number: u64,
     /// The service.
     pub service: ServiceName,
@@ -94,8 +93,8 @@
 pub struct EvidenceAnswer {
     /// The question's number.
     pub number: u64,
-    /// Age of the evidence when the question arrived, in whole milliseconds
-    /// rounded up; zero if it is younger.
+    /// Age of the evidence when the question arrived, in whole milliseconds rounded up;
+    /// zero if the evidence is newer.
     pub age: Duration,
     /// Position of the primary's log; `None` if there is no evidence.
     pub position: Option<Position>,
@@ -104,82 +103,83 @@
 /// A message of a feed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedMessage {
-    /// A follower asks to be told everything from now on.
+    /// A follower asks for all data of the feed from now on.
     Subscribe,
-    /// A follower lives; its reader renews its registration.
+    /// A follower is alive; its reader renews its registration.
     Renewal {
         /// The follower.
         node: FeedNode,
         /// Rises with each renewal on a stream; `None` from a program that does not
-        /// count them, which is told no [`FeedMessage::Listed`].
+        /// count them, which gets no [`FeedMessage::Listed`].
         number: Option<u64>,
     },
     /// The store holds a row of the reader that lists the follower as of a renewal.
     Listed {
         /// The renewal's number.
         number: u64,
-        /// The leases that were claimed lately, if they were read since the row was
-        /// written: a follower that has just come needs to know.
+        /// The leases that were claimed lately, which a new follower needs to know; `None`
+        /// if they were not read since the row was written.
         claims: Option<Vec<RecentClaim>>,
-        /// What the store keeps of earlier promotions, read with the claims; empty without
-        /// them.
+        /// The store's records of earlier promotions, read with the claims; empty without
+        /// claims.
         records: Vec<(ServiceName, LeadRecord)>,
     },
     /// Enough nodes confirmed, to a question that the reader sent after a renewal had
-    /// come, that they have agreed to no other replacements than these.
+    /// arrived, that they have agreed to no other replacements than these.
     Confirmed {
         /// The renewal's number.
         number: u64,
-        /// What the reader has agreed to lately.
+        /// Replacements that the reader has agreed to lately.
         agreed: Vec<String>,
     },
-    /// A follower ends in good order; nobody needs to wait for its answers.
+    /// A follower shuts down in order: no node needs to wait for its answers.
     Leaving,
     /// A node asks to be connected to an instance over this stream.
     RelayRequest(InstanceId),
-    /// From here on the stream leads to the instance.
+    /// Accepts a relay request: from here on the stream is connected to the instance.
     RelayAccepted,
     /// From here on the stream carries [`crate::ForwardMessage`]s.
     Forward,
     /// A follower asks for evidence.
     EvidenceQuestion(EvidenceQuestion),
-    /// A reader has or has no evidence.
+    /// A reader answers a question for evidence.
     EvidenceAnswer(EvidenceAnswer),
     /// A version of the configuration.
     Configuration(Configuration),
-    /// The zones that are evacuated as of a place in the store's changes.
+    /// The evacuated zones as of a revision of the store.
     Evacuations(FeedEvacuations),
-    /// All instances as of a place in the store's changes.
+    /// All instances as of a revision of the store.
     Instances(FeedInstances),
-    /// What has changed among them since.
+    /// Changes of the instances since the last message about them.
     InstanceChanges(FeedInstanceChanges),
-    /// The nodes of the fleet and the region's readers.
+    /// The nodes of the fleet and all readers.
     Fleet(FeedFleet),
-    /// What has changed in it since.
+    /// Changes of the fleet since the last message about it.
     FleetChanges(FeedFleetChanges),
-    /// The reader lives; its last answer from the store is this old.
+    /// The reader is alive.
     Heartbeat {
-        /// Age of the last answer, in milliseconds.
+        /// Age of the reader's last answer from the store.
         age: Duration,
-        /// As of when what it told of instances was the store's; `None` if it knows no such
-        /// moment, or has not heard of the follower.
+        /// The time as of which the reader knows the list of instances it sent; `None` if
+        /// it knows no such time, or has received no renewal of the follower.
         list_as_of: Option<RelativeTimestamp>,
     },
 }
 
-/// A moment as told to a follower: by how much it is later than the arrival of one of the
-/// follower's renewals. The follower counts from when it had sent that, which is earlier, so
-/// time on the way, or in a process that was paused, makes a list older and never younger.
+/// A time, relative to the arrival of one of the follower's renewals at the reader. The
+/// follower counts from when it sent the renewal, which is earlier, so a delay on the
+/// network or in a paused process makes a list older and never newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelativeTimestamp {
     /// The renewal's number.
     pub renewal: u64,
-    /// Milliseconds from its arrival to the moment, rounded down; negative if that was before.
+    /// Milliseconds from the renewal's arrival to the time, rounded down; negative if the
+    /// time is earlier.
     pub offset_ms: i64,
 }
 
 impl RelativeTimestamp {
-    /// Tells a moment by a renewal that arrived at another.
+    /// Expresses `moment` relative to a renewal that arrived at `arrived_at`.
     pub fn new(moment: Instant, renewal: u64, arrived_at: Instant) -> Self {
         let offset_ms = match moment.checked_duration_since(arrived_at) {
             Some(later) => i64::try_from(later.as_millis()).unwrap_or(i64::MAX),
@@ -191,7 +191,8 @@
         Self { renewal, offset_ms }
     }
 
-    /// The moment, or an earlier one, by the clock of who sent the renewal.
+    /// The time, or an earlier one, on the clock of the node that sent the renewal at
+    /// `sent_at`; `None` if this clock cannot represent it.
     pub fn resolve(self, sent_at: Instant) -> Option<Instant> {
         let offset = Duration::from_millis(self.offset_ms.unsigned_abs());
         if self.offset_ms >= 0 {
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -1,5 +1,5 @@
-//! Streams between nodes: what a node that reads the store tells those that
-//! follow it, and the opening of a connection that one relays for another.
+//! Streams between nodes: the feed from a node that reads the store to its followers,
+//! and the requests that turn a stream over to relaying or forwarding.
 //!
 //! Messages are framed on a stream by their length; see [`MAX_FEED_MESSAGE`].
 
@@ -83,14 +83,14 @@
     EvidenceAnswer(#[n(0)] u64, #[n(1)] u64, #[n(2)] Option<WirePosition>),
 }
 
-/// Encodes a message, without its length.
+/// Encodes a message, without its length prefix.
 pub fn encode_feed(message: &FeedMessage, key: &PeerKey) -> Vec<u8> {
     let wire = to_wire(message);
     let body = minicbor::to_vec(&wire).expect("encoding to a vector does not fail");
     key.seal(&pack(&body))
 }
 
-/// Decodes a message.
+/// Checks and decodes a message.
 pub fn decode_feed(bytes: &[u8], key: &PeerKey) -> Result<FeedMessage, PeerError> {
     let body = unpack(key.open(bytes, MAX_FEED_MESSAGE)?, MAX_FEED_MESSAGE)?;
     let wire: WireMessage = minicbor::decode(&body).map_err(|_| PeerError::Malformed)?;
--- a/crates/linkhold-peer/src/feed/position.rs
+++ b/crates/linkhold-peer/src/feed/position.rs
@@ -1,4 +1,4 @@
-//! Positions as they are encoded.
+//! Encoding of log positions.
 
 use linkhold_core::position::{Position, Term};
 use minicbor::{Decode, Encode};
--- a/crates/linkhold-peer/src/lib.rs
+++ b/crates/linkhold-peer/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A message is a version byte, a CBOR body (RFC 8949) and a MAC
 //! (HMAC-SHA-256 truncated to 128 bits, RFC 2104) under the fleet's key, so
-//! that a stranger on the network cannot change a view. Membership messages
+//! that a host without the key cannot change a node's view. Membership messages
 //! fit one datagram; table messages are framed on a stream by a length.
 
 mod datagram;
@@ -38,7 +38,7 @@
 };
 pub use table::{TableMessage, decode_table, encode_table};
 
-/// Version of the format; a node drops messages of another version.
+/// Version of the format; a node drops messages with another version.
 pub const VERSION: u8 = 2;
 /// Longest datagram, which fits one Ethernet frame with IP and UDP headers.
 pub const MAX_DATAGRAM: usize = 1_400;
@@ -46,7 +46,7 @@
 pub const MAX_TABLE_MESSAGE: usize = 64 * 1024 * 1024;
 const MAC_LENGTH: usize = 16;
 
-/// Whole milliseconds of a duration, as messages and rows tell it, rounded down.
+/// A duration in whole milliseconds, rounded down, as messages and rows carry it.
 pub fn milliseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
@@ -63,7 +63,7 @@
     /// The MAC does not match: foreign, forged or damaged.
     #[error("message with a wrong MAC")]
     Mac,
-    /// The body is not what it should be.
+    /// The body cannot be decoded.
     #[error("malformed message")]
     Malformed,
 }
@@ -78,7 +78,7 @@
         Self(key.into())
     }
 
-    /// Its bytes, as they are kept where nodes find them.
+    /// The key's bytes, as stored for the nodes of the fleet.
     pub fn secret(&self) -> &[u8] {
         &self.0
     }
@@ -87,7 +87,7 @@
         <Hmac<Sha256> as Mac>::new_from_slice(&self.0).expect("HMAC takes a key of any length")
     }
 
-    /// Puts version and MAC around a body.
+    /// Adds version and MAC to a body.
     fn seal(&self, body: &[u8]) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(1 + body.len() + MAC_LENGTH);
         bytes.push(VERSION);
@@ -99,8 +99,8 @@
     }
 
     /// Checks version and MAC; returns the body.
-    fn open<'a>(&self, bytes: &'a [u8], most: usize) -> Result<&'a [u8], PeerError> {
-        if bytes.len() <= 1 + MAC_LENGTH || bytes.len() > most {
+    fn open<'a>(&self, bytes: &'a [u8], max_length: usize) -> Result<&'a [u8], PeerError> {
+        if bytes.len() <= 1 + MAC_LENGTH || bytes.len() > max_length {
             return Err(PeerError::Length(bytes.len()));
         }
         let (sealed, mac) = bytes.split_at(bytes.len() - MAC_LENGTH);
--- a/crates/linkhold-peer/src/membership.rs
+++ b/crates/linkhold-peer/src/membership.rs
@@ -7,7 +7,7 @@
 
 use crate::{MAX_DATAGRAM, PeerError, PeerKey};
 
-/// Most statements a message is taken with.
+/// Maximum number of statements in a message.
 const MAX_STATEMENTS: usize = 64;
 
 #[derive(Encode, Decode)]
--- a/crates/linkhold-peer/src/reachability.rs
+++ b/crates/linkhold-peer/src/reachability.rs
@@ -1,5 +1,5 @@
-//! Questions between nodes: can you reach this instance as a primary, and will
-//! you send it nothing while it is replaced?
+//! Questions between nodes: whether a node reaches an instance as the primary, and
+//! whether it agrees to send it nothing while it is replaced.
 
 use std::fmt;
 
@@ -7,42 +7,42 @@
 
 use crate::{MAX_DATAGRAM, PeerError, PeerKey};
 
-/// What a node found when it tried to reach an instance.
+/// Result of an attempt to reach an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Reachability {
-    /// It answered as a primary.
+    /// The instance answered as the primary.
     #[n(0)]
     Reached,
-    /// It did not answer.
+    /// The instance did not answer.
     #[n(1)]
     Unreached,
-    /// It answered that it is not the primary.
+    /// The instance answered that it is not the primary.
     #[n(2)]
     NotPrimary,
 }
 
-/// What a question is asked for.
+/// Purpose of a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum QuestionPurpose {
     /// To find out whether the instance is lost.
     #[n(0)]
     Probe,
-    /// To replace it. Whoever answers [`Reachability::Unreached`] agrees to
+    /// To replace the instance. A node that answers [`Reachability::Unreached`] agrees to
     /// acknowledge nothing that the instance commits for a while.
     #[n(1)]
     Replace,
 }
 
-/// What a question is about.
+/// Subject of a question.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum QuestionSubject {
     /// An instance.
     #[n(0)]
     Instance(#[n(0)] String),
-    /// Whichever instance the node that is asked believes to be the primary of a
-    /// service. Whoever asks may not even list it.
+    /// The instance that the node asked considers the primary of a service. The asking
+    /// node may not know this instance.
     #[n(1)]
     PrimaryOf(#[n(0)] String),
 }
@@ -60,55 +60,55 @@
 /// to.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ReachabilityMessage {
-    /// Please try to reach an instance.
+    /// Asks a node to try to reach an instance.
     #[n(0)]
     Question {
-        /// Told back in the answer.
+        /// Number that the answer repeats.
         #[n(0)]
         number: u64,
-        /// What it is about.
+        /// The instance to reach.
         #[n(1)]
         subject: QuestionSubject,
-        /// What it is asked for.
+        /// Purpose of the question.
         #[n(2)]
         purpose: QuestionPurpose,
     },
-    /// What was found.
+    /// Answers a question.
     #[n(1)]
     Answer {
         /// The question's number.
         #[n(0)]
         number: u64,
-        /// What was found.
+        /// Result of the attempt to reach the instance.
         #[n(1)]
         found: Reachability,
-        /// The instance that was found to lead, where the question names a service and it
-        /// was reached as a primary.
+        /// The instance that was reached as the primary, if the question names a service.
         #[n(2)]
         primary: Option<String>,
     },
-    /// Whoever asked a question to replace an instance orders nothing.
+    /// Withdraws a question with the purpose [`QuestionPurpose::Replace`]: the asking node
+    /// orders no replacement.
     #[n(4)]
     Release {
         /// The question's number.
         #[n(0)]
         number: u64,
     },
-    /// What replacements have you agreed to lately?
+    /// Asks which replacements a node has agreed to lately.
     #[n(2)]
     ConfirmationQuestion {
-        /// Told back in the answer.
+        /// Number that the answer repeats.
         #[n(0)]
         number: u64,
     },
-    /// These, and no others.
+    /// Lists all replacements that the node has agreed to lately.
     #[n(3)]
     ConfirmationAnswer {
         /// The question's number.
         #[n(0)]
         number: u64,
-        /// What it has agreed to, as [`QuestionSubject`]s are displayed; `None` if it
-        /// may not speak for primaries itself, or if they are too many.
+        /// The replacements, as [`QuestionSubject`]s are displayed; `None` if the node may
+        /// not acknowledge for primaries itself, or if there are too many.
         #[n(1)]
         agreed: Option<Vec<String>>,
     },
@@ -120,7 +120,7 @@
     key.seal(&body)
 }
 
-/// Decodes a datagram.
+/// Checks and decodes a datagram.
 pub fn decode_reachability(bytes: &[u8], key: &PeerKey) -> Result<ReachabilityMessage, PeerError> {
     let body = key.open(bytes, MAX_DATAGRAM)?;
     minicbor::decode(body).map_err(|_| PeerError::Malformed)
--- a/crates/linkhold-peer/src/table.rs
+++ b/crates/linkhold-peer/src/table.rs
@@ -11,7 +11,7 @@
 pub enum TableMessage {
     /// Asks for a newer version.
     Request(TableRequest),
-    /// Answers.
+    /// Answers a request.
     Response(TableResponse),
 }
 
@@ -35,7 +35,7 @@
     Whole(#[n(0)] u64, #[n(1)] Vec<Vec<String>>, #[n(2)] u64),
 }
 
-/// Encodes a message, without the length that frames it.
+/// Encodes a message, without its length prefix.
 pub fn encode_table(message: TableMessage, key: &PeerKey) -> Vec<u8> {
     let wire = match message {
         TableMessage::Request(request) => WireTable::Request(request.have),
--- a/crates/linkhold-peer/tests/codec.rs
+++ b/crates/linkhold-peer/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Messages between nodes: what is encoded is decoded, and nothing else is
-//! taken.
+//! Encoding of messages between nodes: what was encoded is decoded unchanged, and any other
+//! bytes are refused.
 
 use std::net::SocketAddr;
 
@@ -110,11 +110,11 @@
     }
 
     #[test]
-    fn a_changed_byte_or_another_key_is_noticed(message in message(), place in any::<prop::sample::Index>()) {
+    fn a_changed_byte_or_another_key_is_noticed(message in message(), index in any::<prop::sample::Index>()) {
         let mut bytes = encode_message(&message, &key());
         prop_assert_eq!(decode_message(&bytes, &PeerKey::new("some-other-peer-key")), Err(PeerError::Mac));
-        let place = place.index(bytes.len());
-        bytes[place] ^= 1;
+        let index = index.index(bytes.len());
+        bytes[index] ^= 1;
         prop_assert_eq!(decode_message(&bytes, &key()), Err(PeerError::Mac));
     }
 
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Messages of the feed and of questions about reachability.
+//! Encoding of the messages of the feed and of questions about reachability.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -176,22 +176,23 @@
 }
 
 proptest! {
-    /// However long a renewal is on its way, or stays unread, a moment that is told by it is
-    /// no later than the one that was meant, and by no more than that and a rounding earlier.
+    /// However long a renewal is in transit, or stays unread, a timestamp relative to it is
+    /// resolved to a time that is not later than the original one, and earlier by no more
+    /// than that delay and a rounding error.
     #[test]
-    fn a_moment_that_is_told_is_never_later(
+    fn a_relative_timestamp_is_never_resolved_to_a_later_time(
         sent in 10_000_000_u64..11_000_000,
-        way in 0_u64..9_000_000,
+        delay in 0_u64..9_000_000,
         moment in 0_u64..30_000_000,
     ) {
         let start = Instant::now();
         let at = |microseconds: u64| start + Duration::from_micros(microseconds);
-        let told = RelativeTimestamp::new(at(moment), 3, at(sent + way));
-        let taken = told.resolve(at(sent));
-        // Before the process started is as good as never.
-        if let Some(taken) = taken {
-            prop_assert!(taken <= at(moment));
-            prop_assert!(taken + Duration::from_micros(way + 1_001) >= at(moment));
+        let timestamp = RelativeTimestamp::new(at(moment), 3, at(sent + delay));
+        let resolved = timestamp.resolve(at(sent));
+        // A time before the process started cannot be represented.
+        if let Some(resolved) = resolved {
+            prop_assert!(resolved <= at(moment));
+            prop_assert!(resolved + Duration::from_micros(delay + 1_001) >= at(moment));
         }
     }
 }
