--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -9,7 +9,7 @@
 use linkhold_core::service::permission::{RecentClaim, Renewed};
 use linkhold_core::service::readers::FOLLOWER_RENEWAL;
 use linkhold_events::Event;
-use linkhold_peer::{FeedMessage, ListMoment, MAX_FEED_MESSAGE, PeerKey, decode_feed};
+use linkhold_peer::{FeedMessage, MAX_FEED_MESSAGE, PeerKey, RelativeTimestamp, decode_feed};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -190,7 +190,7 @@
                 Err(lost) => return lost,
             };
             let next = match message {
-                FeedMessage::Beat { age, list } => self.vouched(age, list),
+                FeedMessage::Heartbeat { age, list_as_of } => self.vouched(age, list_as_of),
                 FeedMessage::EvidenceAnswer(answer) => {
                     self.gateway.reader_link.answered(answer);
                     continue;
@@ -258,9 +258,9 @@
     }
 
     /// A moment that the reader told, by this node's clock.
-    fn moment_of(&self, list: Option<ListMoment>) -> Option<Instant> {
+    fn moment_of(&self, list: Option<RelativeTimestamp>) -> Option<Instant> {
         let list = list?;
-        list.after(lock(self.renewals).sent_at(list.renewal)?)
+        list.resolve(lock(self.renewals).sent_at(list.renewal)?)
     }
 
     /// Keeps what is told until it is vouched for.
@@ -303,7 +303,7 @@
     }
 
     /// The reader vouches for what it told before; until when it may be silent.
-    fn vouched(&mut self, age: Duration, list: Option<ListMoment>) -> Result<Instant, Lost> {
+    fn vouched(&mut self, age: Duration, list: Option<RelativeTimestamp>) -> Result<Instant, Lost> {
         let now = Instant::now();
         let freshness = self.gateway.freshness;
         if !freshness.is_trusted(age, Duration::ZERO) {
@@ -347,11 +347,11 @@
         }
         FeedMessage::Evacuations(known) => {
             let beliefs = &gateway.beliefs;
-            beliefs.replace_evacuations(known.zones, known.place, Instant::now());
+            beliefs.replace_evacuations(known.zones, known.revision, Instant::now());
         }
         // A beat vouches only, instances and the fleet are kept apart; a follower has no
         // use for the others.
-        FeedMessage::Beat { .. }
+        FeedMessage::Heartbeat { .. }
         | FeedMessage::Fleet(_)
         | FeedMessage::FleetChanges(_)
         | FeedMessage::Instances(_)
@@ -361,8 +361,8 @@
         | FeedMessage::Listed { .. }
         | FeedMessage::Confirmed { .. }
         | FeedMessage::Leaving
-        | FeedMessage::Relay(_)
-        | FeedMessage::Relayed
+        | FeedMessage::RelayRequest(_)
+        | FeedMessage::RelayAccepted
         | FeedMessage::Forward
         | FeedMessage::EvidenceQuestion(_)
         | FeedMessage::EvidenceAnswer(_) => {}
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -67,7 +67,7 @@
     pub fn evacuations(&self, zones: &[ZoneName], as_of: StorePlace, key: &PeerKey) -> Frame {
         let message = || {
             FeedMessage::Evacuations(FeedEvacuations {
-                place: as_of,
+                revision: as_of,
                 zones: zones.to_vec(),
             })
         };
@@ -178,7 +178,7 @@
 
     fn whole(&self) -> FeedMessage {
         FeedMessage::Instances(FeedInstances {
-            place: self.place,
+            revision: self.place,
             instances: self.instances.values().cloned().collect(),
         })
     }
@@ -190,11 +190,11 @@
         let changed = self.instances.iter().filter(is_new);
         let is_gone = |id: &&InstanceId| !self.instances.contains_key(*id);
         let changes = FeedInstanceChanges {
-            place: self.place,
+            revision: self.place,
             changed: changed.map(|(_, entry)| entry.clone()).collect(),
-            gone: before.instances.keys().filter(is_gone).cloned().collect(),
+            removed: before.instances.keys().filter(is_gone).cloned().collect(),
         };
-        let is_news = !changes.changed.is_empty() || !changes.gone.is_empty();
+        let is_news = !changes.changed.is_empty() || !changes.removed.is_empty();
         is_news.then_some(FeedMessage::InstanceChanges(changes))
     }
 }
@@ -225,7 +225,7 @@
             size: self.fleet.size,
             readers: has_other_readers.then(|| self.fleet.readers.clone()),
             changed: self.fleet.nodes.iter().filter(is_new).cloned().collect(),
-            gone: gone.map(|node| node.name.clone()).collect(),
+            removed: gone.map(|node| node.name.clone()).collect(),
         }))
     }
 }
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::readers::shed_probability;
 use linkhold_core::service::store_place::StorePlace;
-use linkhold_peer::{EvidenceQuestion, FeedMessage, ListMoment, PeerKey};
+use linkhold_peer::{EvidenceQuestion, FeedMessage, PeerKey, RelativeTimestamp};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::watch;
@@ -179,7 +179,7 @@
         }
         changes.mark_unchanged();
         // Known before what is told: that is as new at the least.
-        let list = list_moment(gateway, &arrival);
+        let list_as_of = list_moment(gateway, &arrival);
         let mut frames = if is_listed {
             news(gateway, &mut told, key)
         } else {
@@ -193,9 +193,9 @@
         }
         // It goes last, since it vouches for all that came before it; writing
         // that may have taken its time.
-        let beat = FeedMessage::Beat {
+        let beat = FeedMessage::Heartbeat {
             age: age + as_of.elapsed(),
-            list,
+            list_as_of,
         };
         let beat = frame(&beat, key);
         if send(gateway, writing, FeedKind::Beat, &beat).await.is_err() {
@@ -211,11 +211,11 @@
 fn list_moment<P: Platform>(
     gateway: &Gateway<P>,
     arrival: &watch::Receiver<Option<Arrival>>,
-) -> Option<ListMoment> {
+) -> Option<RelativeTimestamp> {
     let moment = gateway.beliefs.directory_as_of()?;
     let process = arrival.borrow().as_ref()?.process.clone();
     let (renewal, heard_at) = gateway.followers.last_renewal(&process)?;
-    Some(ListMoment::new(moment, renewal, heard_at))
+    Some(RelativeTimestamp::new(moment, renewal, heard_at))
 }
 
 /// Waits until a node that has just taken up reading knows what it is to tell.
--- a/crates/linkhold-gateway/src/feed/told.rs
+++ b/crates/linkhold-gateway/src/feed/told.rs
@@ -38,7 +38,7 @@
         let changed = changes.changed.into_iter();
         self.nodes
             .extend(changed.map(|node| (node.name.clone(), node)));
-        for name in &changes.gone {
+        for name in &changes.removed {
             self.nodes.remove(name);
         }
         self.is_news = true;
@@ -88,7 +88,7 @@
 }
 
 fn adopt_instances<P: Platform>(gateway: &Gateway<P>, known: FeedInstances) {
-    gateway.store_era.seen(known.place.era());
+    gateway.store_era.seen(known.revision.era());
     let listed = known
         .instances
         .into_iter()
@@ -96,13 +96,13 @@
         .map(|(instance, _)| instance);
     gateway
         .beliefs
-        .replace_instances(listed.collect(), known.place, Instant::now());
+        .replace_instances(listed.collect(), known.revision, Instant::now());
 }
 
 fn adopt_instance_changes<P: Platform>(gateway: &Gateway<P>, changes: FeedInstanceChanges) {
     let beliefs = &gateway.beliefs;
-    gateway.store_era.seen(changes.place.era());
-    if !beliefs.advance_directory(changes.place) {
+    gateway.store_era.seen(changes.revision.era());
+    if !beliefs.advance_directory(changes.revision) {
         return;
     }
     let now = Instant::now();
@@ -113,7 +113,7 @@
             beliefs.vanish_instance(instance.id.name(), now);
         }
     }
-    for id in changes.gone {
+    for id in changes.removed {
         beliefs.vanish_life(&id, now);
     }
 }
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! # Invariant
 //!
-//! No promotion rests on a sample of the fleet. A look ([`QuestionPurpose::Look`])
+//! No promotion rests on a sample of the fleet. A look ([`QuestionPurpose::Probe`])
 //! may ask some nodes; whoever replaces a primary asks everyone
 //! ([`Audience::everyone`]), as listed in the store at that moment. In a large fleet the
 //! watchers of the service alone try the instance when they are asked; the others tell
@@ -103,12 +103,12 @@
             Ok(Datagram::Reachability(ReachabilityMessage::Answer {
                 number,
                 found,
-                leader,
+                primary,
             })) => {
                 let answer = PeerAnswer {
                     from,
                     found,
-                    leader: leader.as_deref().map(instance_id),
+                    leader: primary.as_deref().map(instance_id),
                 };
                 gateway.peers.questions.answered(number, answer);
             }
@@ -178,7 +178,7 @@
                 .quotas
                 .answered(number, BudgetAnswer::Granted(grant));
         }
-        BudgetMessage::Elsewhere { number, address } => match address.parse() {
+        BudgetMessage::Redirect { number, address } => match address.parse() {
             Ok(address) => {
                 let answer = BudgetAnswer::Elsewhere(address);
                 gateway.quotas.answered(number, answer);
@@ -201,7 +201,7 @@
             amount: grant.amount,
             retry_after_ms: milliseconds(grant.retry_after),
         },
-        BudgetAnswer::Elsewhere(address) => BudgetMessage::Elsewhere {
+        BudgetAnswer::Elsewhere(address) => BudgetMessage::Redirect {
             number,
             address: address.to_string(),
         },
@@ -228,7 +228,7 @@
     };
     let found = match &instance {
         Some(instance)
-            if purpose == QuestionPurpose::Look || believes_in(&gateway, instance, &subject) =>
+            if purpose == QuestionPurpose::Probe || believes_in(&gateway, instance, &subject) =>
         {
             find(&gateway, instance, purpose).await
         }
@@ -250,12 +250,12 @@
     let is_leader =
         found == Reachability::Reached && matches!(subject, QuestionSubject::PrimaryOf(_));
     let is_proved = |it: &Arc<Instance>| believes_in(&gateway, it, &subject);
-    let leader = instance.filter(|it| is_leader && is_proved(it));
-    let leader = leader.map(|it| it.id.to_string());
+    let primary = instance.filter(|it| is_leader && is_proved(it));
+    let primary = primary.map(|it| it.id.to_string());
     let message = ReachabilityMessage::Answer {
         number: asker.number,
         found,
-        leader,
+        primary,
     };
     // A lost answer counts as none.
     let _ = asker
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -91,9 +91,9 @@
     gateway
         .beliefs
         .observe(&instance.id, |health| health.begin_trial(now));
-    if let Some(owners) = gateway.pools.owners_of(instance, &gateway.beliefs) {
+    if let Some(owners) = gateway.pools.designated_owners(instance, &gateway.beliefs) {
         let asked = if gateway.beliefs.is_cold(&instance.id) {
-            owners.permitted_spenders(&principal)
+            owners.permitted_senders(&principal)
         } else {
             owners.permitted(&principal)
         };
@@ -130,7 +130,10 @@
     frame: Frame,
     bounds: Bounds,
 ) -> Attempt<P> {
-    if gateway.relays.bars(&instance.id, principal.regions) {
+    if gateway
+        .relays
+        .has_no_permitted_peer(&instance.id, principal.regions)
+    {
         return Attempt::NotRun(NotRunCause::Unreachable);
     }
     if speaks_for_primary(gateway, instance, work, frame)
@@ -181,12 +184,14 @@
         Held::Own(lease) => {
             let opened_at = lease.opened_at();
             gateway
-                .wait_for_warm_up(lease.instance(), opened_at, answer_by)
+                .wait_for_warm_up_allowance(lease.instance(), opened_at, answer_by)
                 .await;
             let _pass = lease.gate().enter_at_once();
             run_on_own(gateway, lease, principal, work, frame, answer_by).await
         }
-        Held::Lent(lent) => forward::run_on(gateway, lent, principal, work, answer_by).await,
+        Held::Lent(lent) => {
+            forward::run_in_transaction(gateway, lent, principal, work, answer_by).await
+        }
     };
     acknowledged(gateway, &instance, work, frame, attempt)
 }
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -1,5 +1,5 @@
-//! Streams between nodes: what a node that reads the store tells those that
-//! follow it, and the opening of a connection that one relays for another.
+//! Streams between nodes: the feed from a node that reads the store to its followers,
+//! and the requests that turn a stream over to relaying or forwarding.
 //!
 //! Messages are framed on a stream by their length; see [`MAX_FEED_MESSAGE`].
 
@@ -30,7 +30,7 @@
 
 pub use message::{
     EvidenceAnswer, EvidenceQuestion, FeedEvacuations, FeedFleet, FeedFleetChanges,
-    FeedInstanceChanges, FeedInstances, FeedMessage, FeedNode, ListMoment,
+    FeedInstanceChanges, FeedInstances, FeedMessage, FeedNode, RelativeTimestamp,
 };
 
 /// Longest message, in bytes.
@@ -47,13 +47,13 @@
     #[n(3)]
     Fleet(#[n(0)] WireFleet),
     #[n(4)]
-    Beat(#[n(0)] u64, #[n(1)] Option<u64>, #[n(2)] Option<i64>),
+    Heartbeat(#[n(0)] u64, #[n(1)] Option<u64>, #[n(2)] Option<i64>),
     #[n(5)]
     Renewal(#[n(0)] WireNode, #[n(1)] Option<u64>),
     #[n(6)]
-    Relay(#[n(0)] String),
+    RelayRequest(#[n(0)] String),
     #[n(7)]
-    Relayed,
+    RelayAccepted,
     #[n(10)]
     Forward,
     #[n(11)]
@@ -83,14 +83,14 @@
     EvidenceAnswer(#[n(0)] u64, #[n(1)] u64, #[n(2)] Option<WirePosition>),
 }
 
-/// Encodes a message, without its length.
+/// Encodes a message, without its length prefix.
 pub fn encode_feed(message: &FeedMessage, key: &PeerKey) -> Vec<u8> {
     let wire = to_wire(message);
     let body = minicbor::to_vec(&wire).expect("encoding to a vector does not fail");
     key.seal(&pack(&body))
 }
 
-/// Decodes a message.
+/// Checks and decodes a message.
 pub fn decode_feed(bytes: &[u8], key: &PeerKey) -> Result<FeedMessage, PeerError> {
     let body = unpack(key.open(bytes, MAX_FEED_MESSAGE)?, MAX_FEED_MESSAGE)?;
     let wire: WireMessage = minicbor::decode(&body).map_err(|_| PeerError::Malformed)?;
@@ -115,9 +115,9 @@
         FeedMessage::Confirmed { number, agreed } => {
             WireMessage::Confirmed(*number, agreed.clone())
         }
-        FeedMessage::Relay(id) => WireMessage::Relay(id.0.to_string()),
+        FeedMessage::RelayRequest(id) => WireMessage::RelayRequest(id.0.to_string()),
         FeedMessage::Leaving => WireMessage::Leaving,
-        FeedMessage::Relayed => WireMessage::Relayed,
+        FeedMessage::RelayAccepted => WireMessage::RelayAccepted,
         FeedMessage::Forward => WireMessage::Forward,
         FeedMessage::EvidenceQuestion(question) => WireMessage::EvidenceQuestion(
             question.number,
@@ -133,16 +133,17 @@
             WireMessage::Configuration(configuration_to_wire(configuration))
         }
         FeedMessage::Evacuations(known) => WireMessage::Evacuations(
-            known.place.to_bits(),
+            known.revision.to_bits(),
             known.zones.iter().map(ToString::to_string).collect(),
         ),
-        FeedMessage::Instances(known) => {
-            WireMessage::Instances(known.place.to_bits(), instances_to_wire(&known.instances))
-        }
+        FeedMessage::Instances(known) => WireMessage::Instances(
+            known.revision.to_bits(),
+            instances_to_wire(&known.instances),
+        ),
         FeedMessage::InstanceChanges(changes) => WireMessage::InstanceChanges(
-            changes.place.to_bits(),
+            changes.revision.to_bits(),
             instances_to_wire(&changes.changed),
-            changes.gone.iter().map(ToString::to_string).collect(),
+            changes.removed.iter().map(ToString::to_string).collect(),
         ),
         FeedMessage::Fleet(fleet) => WireMessage::Fleet(WireFleet {
             size: fleet.size as u64,
@@ -153,12 +154,12 @@
             changes.size as u64,
             changes.readers.as_deref().map(nodes_to_wire),
             nodes_to_wire(&changes.changed),
-            changes.gone.clone(),
+            changes.removed.clone(),
         ),
-        FeedMessage::Beat { age, list } => WireMessage::Beat(
+        FeedMessage::Heartbeat { age, list_as_of } => WireMessage::Heartbeat(
             milliseconds(*age),
-            list.map(|list| list.renewal),
-            list.map(|list| list.offset_ms),
+            list_as_of.map(|list_as_of| list_as_of.renewal),
+            list_as_of.map(|list_as_of| list_as_of.offset_ms),
         ),
     }
 }
@@ -180,9 +181,9 @@
                 .collect(),
         },
         WireMessage::Confirmed(number, agreed) => FeedMessage::Confirmed { number, agreed },
-        WireMessage::Relay(id) => FeedMessage::Relay(InstanceId(id.into())),
+        WireMessage::RelayRequest(id) => FeedMessage::RelayRequest(InstanceId(id.into())),
         WireMessage::Leaving => FeedMessage::Leaving,
-        WireMessage::Relayed => FeedMessage::Relayed,
+        WireMessage::RelayAccepted => FeedMessage::RelayAccepted,
         WireMessage::Forward => FeedMessage::Forward,
         WireMessage::EvidenceQuestion(number, service, max_age) => {
             FeedMessage::EvidenceQuestion(EvidenceQuestion {
@@ -201,20 +202,20 @@
         WireMessage::Configuration(wire) => {
             FeedMessage::Configuration(configuration_from_wire(wire)?)
         }
-        WireMessage::Evacuations(place, zones) => FeedMessage::Evacuations(FeedEvacuations {
-            place: StorePlace::from_bits(place),
+        WireMessage::Evacuations(revision, zones) => FeedMessage::Evacuations(FeedEvacuations {
+            revision: StorePlace::from_bits(revision),
             zones: zones.into_iter().map(ZoneName::from).collect(),
         }),
-        WireMessage::Instances(place, wire) => FeedMessage::Instances(FeedInstances {
-            place: StorePlace::from_bits(place),
+        WireMessage::Instances(revision, wire) => FeedMessage::Instances(FeedInstances {
+            revision: StorePlace::from_bits(revision),
             instances: instances_from_wire(wire)?,
         }),
-        WireMessage::InstanceChanges(place, changed, gone) => {
-            let gone = gone.into_iter().map(|id| InstanceId(id.into()));
+        WireMessage::InstanceChanges(revision, changed, removed) => {
+            let removed = removed.into_iter().map(|id| InstanceId(id.into()));
             FeedMessage::InstanceChanges(FeedInstanceChanges {
-                place: StorePlace::from_bits(place),
+                revision: StorePlace::from_bits(revision),
                 changed: instances_from_wire(changed)?,
-                gone: gone.collect(),
+                removed: removed.collect(),
             })
         }
         WireMessage::Fleet(wire) => FeedMessage::Fleet(FeedFleet {
@@ -222,7 +223,7 @@
             readers: nodes_from_wire(wire.readers)?,
             nodes: nodes_from_wire(wire.nodes)?,
         }),
-        WireMessage::FleetChanges(size, readers, changed, gone) => {
+        WireMessage::FleetChanges(size, readers, changed, removed) => {
             let readers = match readers {
                 Some(readers) => Some(nodes_from_wire(readers)?),
                 None => None,
@@ -231,14 +232,14 @@
                 size: size as usize,
                 readers,
                 changed: nodes_from_wire(changed)?,
-                gone,
+                removed,
             })
         }
-        WireMessage::Beat(age, renewal, offset_ms) => FeedMessage::Beat {
+        WireMessage::Heartbeat(age, renewal, offset_ms) => FeedMessage::Heartbeat {
             age: Duration::from_millis(age),
-            list: renewal
+            list_as_of: renewal
                 .zip(offset_ms)
-                .map(|(renewal, offset_ms)| ListMoment { renewal, offset_ms }),
+                .map(|(renewal, offset_ms)| RelativeTimestamp { renewal, offset_ms }),
         },
     })
 }
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Messages of the feed and of questions about reachability.
+//! Encoding of the messages of the feed and of questions about reachability.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use linkhold_core::tenancy::{Credential, RateLimit, Tenancy, Tenant};
 use linkhold_peer::{
     EvidenceAnswer, EvidenceQuestion, FeedFleet, FeedFleetChanges, FeedInstanceChanges,
-    FeedInstances, FeedMessage, FeedNode, ListMoment, PeerError, PeerKey, QuestionPurpose,
-    QuestionSubject, Reachability, ReachabilityMessage, decode_feed, decode_reachability,
+    FeedInstances, FeedMessage, FeedNode, PeerError, PeerKey, QuestionPurpose, QuestionSubject,
+    Reachability, ReachabilityMessage, RelativeTimestamp, decode_feed, decode_reachability,
     encode_feed, encode_reachability,
 };
 use proptest::prelude::*;
@@ -118,12 +118,12 @@
             number: 14,
             agreed: vec!["instance one".to_owned()],
         },
-        FeedMessage::Relay(InstanceId("i-1".into())),
-        FeedMessage::Relayed,
+        FeedMessage::RelayRequest(InstanceId("i-1".into())),
+        FeedMessage::RelayAccepted,
         FeedMessage::InstanceChanges(FeedInstanceChanges {
-            place: StorePlace::new(Era(2), 9),
+            revision: StorePlace::new(Era(2), 9),
             changed: vec![(instance.clone(), false)],
-            gone: vec![InstanceId("two".into())],
+            removed: vec![InstanceId("two".into())],
         }),
         FeedMessage::EvidenceQuestion(EvidenceQuestion {
             number: 3,
@@ -145,7 +145,7 @@
         }),
         FeedMessage::Configuration(configuration()),
         FeedMessage::Instances(FeedInstances {
-            place: StorePlace::new(Era::default(), 77),
+            revision: StorePlace::new(Era::default(), 77),
             instances: vec![(instance, false)],
         }),
         FeedMessage::Fleet(FeedFleet {
@@ -157,17 +157,17 @@
             size: 301,
             readers: None,
             changed: vec![node.clone()],
-            gone: vec!["gone".to_owned()],
+            removed: vec!["gone".to_owned()],
         }),
         FeedMessage::FleetChanges(FeedFleetChanges {
             size: 302,
             readers: Some(vec![node]),
             changed: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
         }),
-        FeedMessage::Beat {
+        FeedMessage::Heartbeat {
             age: Duration::from_millis(250),
-            list: Some(ListMoment {
+            list_as_of: Some(RelativeTimestamp {
                 renewal: 12,
                 offset_ms: -340,
             }),
@@ -176,22 +176,23 @@
 }
 
 proptest! {
-    /// However long a renewal is on its way, or stays unread, a moment that is told by it is
-    /// no later than the one that was meant, and by no more than that and a rounding earlier.
+    /// However long a renewal is in transit, or stays unread, a timestamp relative to it is
+    /// resolved to a time that is not later than the original one, and earlier by no more
+    /// than that delay and a rounding error.
     #[test]
-    fn a_moment_that_is_told_is_never_later(
+    fn a_relative_timestamp_is_never_resolved_to_a_later_time(
         sent in 10_000_000_u64..11_000_000,
-        way in 0_u64..9_000_000,
+        delay in 0_u64..9_000_000,
         moment in 0_u64..30_000_000,
     ) {
         let start = Instant::now();
         let at = |microseconds: u64| start + Duration::from_micros(microseconds);
-        let told = ListMoment::new(at(moment), 3, at(sent + way));
-        let taken = told.after(at(sent));
-        // Before the process started is as good as never.
-        if let Some(taken) = taken {
-            prop_assert!(taken <= at(moment));
-            prop_assert!(taken + Duration::from_micros(way + 1_001) >= at(moment));
+        let timestamp = RelativeTimestamp::new(at(moment), 3, at(sent + delay));
+        let resolved = timestamp.resolve(at(sent));
+        // A time before the process started cannot be represented.
+        if let Some(resolved) = resolved {
+            prop_assert!(resolved <= at(moment));
+            prop_assert!(resolved + Duration::from_micros(delay + 1_001) >= at(moment));
         }
     }
 }
@@ -210,7 +211,7 @@
     let answer = ReachabilityMessage::Answer {
         number: 9,
         found: Reachability::Reached,
-        leader: Some("one".to_owned()),
+        primary: Some("one".to_owned()),
     };
     for message in [question, answer] {
         let bytes = encode_reachability(&message, &key());
