--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -25,8 +25,8 @@
 use std::time::{Duration, Instant};
 
 use super::configuration::ServiceName;
+use super::incarnations::{KnownLives, LifeNews};
 use super::instance::{Instance, InstanceId, Lifecycle, Role};
-use super::lives::{KnownLives, LifeNews};
 use primaries::PrimaryBelief;
 
 pub use primaries::{PrimaryChange, PrimarySource};
