--- a/crates/linkhold-core/tests/service_lead.rs
+++ b/crates/linkhold-core/tests/service_lead.rs
@@ -4,7 +4,7 @@
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::failover::InstanceStatus;
 use linkhold_core::service::instance::{InstanceId, Role};
-use linkhold_core::service::lead::{LeadRecord, LeadVerdict, judge};
+use linkhold_core::service::primary_verification::{LeadRecord, LeadVerdict, judge};
 use proptest::prelude::*;
 
 const NAMES: [&str; 3] = ["one", "two", "three"];
--- a/crates/linkhold-gateway/src/evidence/lead_proof.rs
+++ b/crates/linkhold-gateway/src/evidence/lead_proof.rs
@@ -9,7 +9,7 @@
 
 use linkhold_core::service::failover::InstanceStatus;
 use linkhold_core::service::instance::{Instance, InstanceId};
-use linkhold_core::service::lead::{self, LeadVerdict};
+use linkhold_core::service::primary_verification::{self, LeadVerdict};
 use linkhold_events::Event;
 
 use crate::evidence::survey;
@@ -81,14 +81,14 @@
 ) -> LeadVerdict {
     let service = &instance.service;
     if let Some(record) = gateway.lead_records.of(service) {
-        let verdict = lead::judge(&instance.id, statuses, &record);
+        let verdict = primary_verification::judge(&instance.id, statuses, &record);
         if verdict != LeadVerdict::Unknown {
             return verdict;
         }
     }
     match failover::read_lead_record(gateway, service).await {
         Ok(record) => {
-            let verdict = lead::judge(&instance.id, statuses, &record);
+            let verdict = primary_verification::judge(&instance.id, statuses, &record);
             gateway.lead_records.update(service, record);
             verdict
         }
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -9,8 +9,8 @@
     self, ClaimDecision, ClaimTime, FailoverLease, LEASE, ORDER_TIMEOUT, era_of_token,
 };
 use linkhold_core::service::instance::InstanceId;
-use linkhold_core::service::lead::LeadRecord;
 use linkhold_core::service::permission::RecentClaim;
+use linkhold_core::service::primary_verification::LeadRecord;
 use linkhold_core::service::store_place::StorePlace;
 use linkhold_events::Event;
 use tokio::time::timeout;
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -8,8 +8,8 @@
 use linkhold_core::service::directory::PrimarySource;
 use linkhold_core::service::failover::{self, FailoverLease, InstanceStatus, Successor};
 use linkhold_core::service::instance::{Instance, InstanceId, Role};
-use linkhold_core::service::lead::LeadVerdict;
 use linkhold_core::service::permission::CONFIRMATION_LIFE;
+use linkhold_core::service::primary_verification::LeadVerdict;
 use linkhold_events::Event;
 use tokio::time::{sleep, sleep_until};
 
--- a/crates/linkhold-gateway/src/lease_format.rs
+++ b/crates/linkhold-gateway/src/lease_format.rs
@@ -10,8 +10,8 @@
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::failover::{FailoverLease, era_of_token};
 use linkhold_core::service::instance::InstanceId;
-use linkhold_core::service::lead::LeadRecord;
 use linkhold_core::service::permission::RecentClaim;
+use linkhold_core::service::primary_verification::LeadRecord;
 use linkhold_core::service::store_place::Era;
 use serde::{Deserialize, Serialize};
 
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::configuration::ServiceName;
-use linkhold_core::service::lead::LeadRecord;
 use linkhold_core::service::permission::Renewed;
+use linkhold_core::service::primary_verification::LeadRecord;
 use linkhold_core::service::readers;
 use linkhold_core::service::store_place::{Era, StorePlace};
 use linkhold_events::Event;
--- a/crates/linkhold-gateway/src/state/lead_records.rs
+++ b/crates/linkhold-gateway/src/state/lead_records.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 
 use linkhold_core::service::configuration::ServiceName;
-use linkhold_core::service::lead::LeadRecord;
+use linkhold_core::service::primary_verification::LeadRecord;
 
 use crate::beliefs::lock;
 
--- a/crates/linkhold-peer/src/feed/leases.rs
+++ b/crates/linkhold-peer/src/feed/leases.rs
@@ -5,8 +5,8 @@
 use linkhold_core::position::Term;
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::instance::InstanceId;
-use linkhold_core::service::lead::LeadRecord;
 use linkhold_core::service::permission::RecentClaim;
+use linkhold_core::service::primary_verification::LeadRecord;
 use minicbor::{Decode, Encode};
 
 use crate::milliseconds;
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -7,8 +7,8 @@
 use linkhold_core::service::configuration::{Configuration, ServiceName};
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::instance::{Instance, InstanceId};
-use linkhold_core::service::lead::LeadRecord;
 use linkhold_core::service::permission::RecentClaim;
+use linkhold_core::service::primary_verification::LeadRecord;
 use linkhold_core::service::store_place::StorePlace;
 
 /// A node as a reader knows it.
