--- a/crates/linkhold-core/src/service/evacuation.rs
+++ b/crates/linkhold-core/src/service/evacuation.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::store_place::StorePlace;
+use super::store_revision::StorePlace;
 
 /// Name of a zone.
 pub type ZoneName = Arc<str>;
--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -24,7 +24,7 @@
 use crate::position::{Position, Term};
 
 use super::instance::{InstanceId, Role};
-use super::store_place::Era;
+use super::store_revision::Era;
 
 /// How long a claim keeps others from claiming.
 pub const LEASE: Duration = Duration::from_millis(4_000);
--- a/crates/linkhold-core/src/service/mod.rs
+++ b/crates/linkhold-core/src/service/mod.rs
@@ -22,7 +22,7 @@
 pub mod readers;
 pub mod regions;
 pub mod session;
-pub mod store_place;
+pub mod store_revision;
 pub mod waiting;
 pub mod warm_up;
 pub mod watchers;
--- a/crates/linkhold-core/tests/service_eras.rs
+++ b/crates/linkhold-core/tests/service_eras.rs
@@ -10,7 +10,7 @@
     ClaimDecision, ClaimTime, FailoverLease, LEASE, claim, era_of_token, hold_ready,
 };
 use linkhold_core::service::instance::InstanceId;
-use linkhold_core::service::store_place::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StorePlace};
 use proptest::prelude::*;
 
 const BOUND: Duration = Duration::from_millis(5_000);
--- a/crates/linkhold-core/tests/service_evacuation.rs
+++ b/crates/linkhold-core/tests/service_evacuation.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::evacuation::{
     EvacuationChange, Evacuations, OPEN_WORK_PERCENT, ZoneName, ZoneState,
 };
-use linkhold_core::service::store_place::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StorePlace};
 use proptest::prelude::*;
 
 const BOUND: Duration = Duration::from_millis(5_000);
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -19,7 +19,7 @@
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::placement::{self, Candidate, Distance};
 use linkhold_core::service::regions::AllowedRegions;
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use linkhold_core::service::withholding::Withholdings;
 use linkhold_events::Event;
 use tokio::sync::{Notify, watch};
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/beliefs/eligibility.rs
@@ -11,7 +11,7 @@
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::primary_placement;
 use linkhold_core::service::regions::{AllowedRegions, RegionName};
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use linkhold_events::Event;
 
 use super::{Beliefs, InstanceBeliefs, lock};
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -11,7 +11,7 @@
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::permission::RecentClaim;
 use linkhold_core::service::primary_verification::LeadRecord;
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use linkhold_events::Event;
 use tokio::time::timeout;
 
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -13,7 +13,7 @@
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::failover::{self, ClaimTime, FailoverLease};
 use linkhold_core::service::primary_verification::LeadRecord;
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use linkhold_events::Event;
 use tokio::time::sleep;
 
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -11,7 +11,7 @@
 
 use linkhold_core::position::Term;
 use linkhold_core::service::configuration::ServiceName;
-use linkhold_core::service::store_place::Era;
+use linkhold_core::service::store_revision::Era;
 use linkhold_events::Event;
 use tokio::time::timeout;
 
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::configuration::Configuration;
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::instance::{Instance, InstanceId};
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use linkhold_peer::{
     FeedEvacuations, FeedFleet, FeedFleetChanges, FeedInstanceChanges, FeedInstances, FeedMessage,
     FeedNode, PeerKey,
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -6,7 +6,7 @@
 
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::readers::shed_probability;
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use linkhold_peer::{EvidenceQuestion, FeedMessage, ListMoment, PeerKey};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/linkhold-gateway/src/keeper.rs
+++ b/crates/linkhold-gateway/src/keeper.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use linkhold_events::Event;
 use tokio::time::sleep;
 
--- a/crates/linkhold-gateway/src/lease_format.rs
+++ b/crates/linkhold-gateway/src/lease_format.rs
@@ -12,7 +12,7 @@
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::permission::RecentClaim;
 use linkhold_core::service::primary_verification::LeadRecord;
-use linkhold_core::service::store_place::Era;
+use linkhold_core::service::store_revision::Era;
 use serde::{Deserialize, Serialize};
 
 use crate::beliefs::lock;
--- a/crates/linkhold-gateway/src/ports/store.rs
+++ b/crates/linkhold-gateway/src/ports/store.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::configuration::Configuration;
 use linkhold_core::service::evacuation::{EvacuationChange, ZoneName};
 use linkhold_core::service::instance::Instance;
-use linkhold_core::service::store_place::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StorePlace};
 use thiserror::Error;
 
 /// The store could not be used.
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -13,7 +13,7 @@
 use linkhold_core::service::permission::Renewed;
 use linkhold_core::service::primary_verification::LeadRecord;
 use linkhold_core::service::readers;
-use linkhold_core::service::store_place::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StorePlace};
 use linkhold_events::Event;
 use linkhold_peer::{FeedMessage, PeerKey};
 use tokio::time::{sleep, timeout_at};
--- a/crates/linkhold-gateway/src/registry.rs
+++ b/crates/linkhold-gateway/src/registry.rs
@@ -12,7 +12,7 @@
 
 use linkhold_core::service::permission::FORMER_TIME;
 use linkhold_core::service::readers::{READER_EXPIRY, ROW_EXPIRY, SETTLING_TIME};
-use linkhold_core::service::store_place::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StorePlace};
 use linkhold_events::Event;
 use linkhold_peer::{FeedNode, MAX_FEED_MESSAGE, PeerKey, milliseconds};
 use serde::{Deserialize, Serialize};
--- a/crates/linkhold-gateway/src/state/own_row.rs
+++ b/crates/linkhold-gateway/src/state/own_row.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use tokio::sync::MutexGuard;
 
 use crate::beliefs::lock;
--- a/crates/linkhold-gateway/src/store_era.rs
+++ b/crates/linkhold-gateway/src/store_era.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use linkhold_core::service::store_place::Era;
+use linkhold_core::service::store_revision::Era;
 use linkhold_events::Event;
 
 /// The latest era that any answer of the store, or any reader, told.
--- a/crates/linkhold-gateway/tests/registry.rs
+++ b/crates/linkhold-gateway/tests/registry.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::store_place::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StorePlace};
 use linkhold_gateway::ports::{StoredRow, StoredRows};
 use linkhold_gateway::registry::{PEER_KEY_ROW, Registration, Registry, encode_row};
 use linkhold_peer::FeedNode;
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -9,7 +9,7 @@
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::permission::RecentClaim;
 use linkhold_core::service::primary_verification::LeadRecord;
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 
 /// A node as a reader knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -14,7 +14,7 @@
 
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::instance::InstanceId;
-use linkhold_core::service::store_place::StorePlace;
+use linkhold_core::service::store_revision::StorePlace;
 use minicbor::{Decode, Encode};
 
 use crate::packing::{pack, unpack};
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -10,7 +10,7 @@
 use linkhold_core::service::permission::RecentClaim;
 use linkhold_core::service::primary_verification::LeadRecord;
 use linkhold_core::service::regions::AllowedRegions;
-use linkhold_core::service::store_place::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StorePlace};
 use linkhold_core::tenancy::{Credential, RateLimit, Tenancy, Tenant};
 use linkhold_peer::{
     EvidenceAnswer, EvidenceQuestion, FeedFleet, FeedFleetChanges, FeedInstanceChanges,
