--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -46,7 +46,7 @@
     /// Oldest knowledge that a follower accepts.
     pub trust: Duration,
     /// How long a node that has lost its readers may wait before it asks the
-    /// store, and again before it reads it: see [`super::following`].
+    /// store, and again before it reads it: see [`super::reader_search`].
     pub search: Duration,
 }
 
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::following::{Search, Situation, Step};
+use linkhold_core::service::reader_search::{Search, Situation, Step};
 use linkhold_core::service::readers::Freshness;
 use proptest::prelude::*;
 use rand::rngs::StdRng;
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::following::{Search, Situation, Step};
+use linkhold_core::service::reader_search::{Search, Situation, Step};
 use linkhold_core::service::readers::{claim_delay, link_delay};
 use linkhold_events::Event;
 use rand::seq::SliceRandom;
