--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -25,7 +25,7 @@
 use std::time::{Duration, Instant};
 
 use super::configuration::ServiceName;
-use super::incarnations::{KnownLives, LifeNews};
+use super::incarnations::{KnownIncarnations, LifeNews};
 use super::instance::{Instance, InstanceId, Lifecycle, Role};
 use primaries::PrimaryBelief;
 
@@ -68,7 +68,7 @@
     /// The instances of each service, in the order of their identities: a statement looks
     /// at those of its own service alone.
     by_service: BTreeMap<ServiceName, BTreeSet<InstanceId>>,
-    lives: KnownLives,
+    lives: KnownIncarnations,
     /// Lives that have ended and were not returned by [`Directory::expire`] yet.
     ended: Vec<InstanceId>,
     primaries: HashMap<ServiceName, PrimaryBelief>,
--- a/crates/linkhold-core/src/service/incarnations.rs
+++ b/crates/linkhold-core/src/service/incarnations.rs
@@ -53,9 +53,9 @@
 
 /// The lives of all instances, by the instances' names.
 #[derive(Debug, Default)]
-pub struct KnownLives(HashMap<Arc<str>, Lives>);
+pub struct KnownIncarnations(HashMap<Arc<str>, Lives>);
 
-impl KnownLives {
+impl KnownIncarnations {
     /// A life of an instance is announced.
     pub fn announce(&mut self, id: &InstanceId) -> LifeNews {
         let Some(lives) = self.0.get_mut(id.name()) else {
