--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -25,7 +25,7 @@
 use std::time::{Duration, Instant};
 
 use super::configuration::ServiceName;
-use super::incarnations::{KnownIncarnations, LifeNews};
+use super::incarnations::{IncarnationChange, KnownIncarnations};
 use super::instance::{Instance, InstanceId, Lifecycle, Role};
 use primaries::PrimaryBelief;
 
@@ -97,9 +97,9 @@
         let id = instance.id.clone();
         let role = instance.role;
         match self.lives.announce(&id) {
-            LifeNews::Former => return None,
-            LifeNews::Later(ended) => self.end_life(&ended, &id),
-            LifeNews::Present => {}
+            IncarnationChange::Former => return None,
+            IncarnationChange::Later(ended) => self.end_life(&ended, &id),
+            IncarnationChange::Present => {}
         }
         let known = self.entries.get(&id);
         let previous = known.map(|entry| entry.instance.role);
--- a/crates/linkhold-core/src/service/incarnations.rs
+++ b/crates/linkhold-core/src/service/incarnations.rs
@@ -15,7 +15,7 @@
 
 /// What an announcement tells of the life of its instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LifeNews {
+pub enum IncarnationChange {
     /// It is the present one, or the first that is known.
     Present,
     /// It is one that has ended.
@@ -57,17 +57,17 @@
 
 impl KnownIncarnations {
     /// A life of an instance is announced.
-    pub fn announce(&mut self, id: &InstanceId) -> LifeNews {
+    pub fn announce(&mut self, id: &InstanceId) -> IncarnationChange {
         let Some(lives) = self.0.get_mut(id.name()) else {
             self.0.insert(id.name().into(), Lives::new(id.clone()));
-            return LifeNews::Present;
+            return IncarnationChange::Present;
         };
         if lives.present == *id {
-            LifeNews::Present
+            IncarnationChange::Present
         } else if lives.former.contains(id) {
-            LifeNews::Former
+            IncarnationChange::Former
         } else {
-            LifeNews::Later(lives.begin(id))
+            IncarnationChange::Later(lives.begin(id))
         }
     }
 
