--- a/crates/linkhold-core/src/service/primary_verification.rs
+++ b/crates/linkhold-core/src/service/primary_verification.rs
@@ -3,7 +3,7 @@
 //! An instance's entry tells a role and no term. A primary that was replaced while it was
 //! cut off goes on saying that it leads, and nobody contradicts it while its successor is
 //! away. So the word of those instances that answer is not enough: what the store keeps of
-//! earlier promotions counts as well ([`LeadRecord`]).
+//! earlier promotions counts as well ([`PromotionRecord`]).
 //!
 //! # Invariant
 //!
@@ -16,7 +16,7 @@
 
 /// What the store keeps of a service's promotions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LeadRecord {
+pub struct PromotionRecord {
     /// The newest term in which a primary's log was proved to end, if that followed another
     /// one.
     pub proved_term: Option<Term>,
@@ -28,7 +28,7 @@
 /// Claimed instances that are kept, at the most: more than a service has, each in a few lives.
 const MOST_CLAIMED: usize = 16;
 
-impl LeadRecord {
+impl PromotionRecord {
     /// The lease is claimed for an instance.
     pub fn claim(&mut self, successor: &InstanceId) {
         self.claimed.retain(|claimed| claimed != successor);
@@ -66,7 +66,11 @@
 
 /// Judges an instance that is believed to lead for its entry alone, by what it and the others
 /// of its service told when they were asked, and by what the store keeps.
-pub fn judge(id: &InstanceId, statuses: &[InstanceStatus], record: &LeadRecord) -> LeadVerdict {
+pub fn judge(
+    id: &InstanceId,
+    statuses: &[InstanceStatus],
+    record: &PromotionRecord,
+) -> LeadVerdict {
     let Some(own) = statuses.iter().find(|status| status.id == *id) else {
         return LeadVerdict::Silent;
     };
--- a/crates/linkhold-core/tests/service_lead.rs
+++ b/crates/linkhold-core/tests/service_lead.rs
@@ -4,7 +4,7 @@
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::failover::InstanceStatus;
 use linkhold_core::service::instance::{InstanceId, Role};
-use linkhold_core::service::primary_verification::{LeadRecord, LeadVerdict, judge};
+use linkhold_core::service::primary_verification::{LeadVerdict, PromotionRecord, judge};
 use proptest::prelude::*;
 
 const NAMES: [&str; 3] = ["one", "two", "three"];
@@ -22,8 +22,8 @@
     }
 }
 
-fn record(claimed: &[&str], proved_term: Option<u64>) -> LeadRecord {
-    LeadRecord {
+fn record(claimed: &[&str], proved_term: Option<u64>) -> PromotionRecord {
+    PromotionRecord {
         proved_term: proved_term.map(Term),
         claimed: claimed.iter().map(|name| id(name)).collect(),
     }
@@ -102,7 +102,7 @@
 
 /// What the instances and the store hold after a history, and who leads. A replaced primary
 /// keeps its role and term, as one that is cut off does.
-fn played(history: &History) -> (Vec<InstanceStatus>, LeadRecord, usize) {
+fn played(history: &History) -> (Vec<InstanceStatus>, PromotionRecord, usize) {
     let mut terms = [1_u64; 3];
     let mut says_it_leads = [true, false, false];
     let mut leader = 0;
@@ -134,7 +134,7 @@
     let known = if looks_at_record {
         known
     } else {
-        LeadRecord::default()
+        PromotionRecord::default()
     };
     let replaced = (0..NAMES.len()).filter(|index| *index != leader);
     replaced
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -10,7 +10,7 @@
 };
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::permission::RecentClaim;
-use linkhold_core::service::primary_verification::LeadRecord;
+use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::store_revision::StorePlace;
 use linkhold_events::Event;
 use tokio::time::timeout;
@@ -81,7 +81,7 @@
 /// A lease's row as it is.
 struct LeaseRead {
     lease: Option<FailoverLease>,
-    record: LeadRecord,
+    record: PromotionRecord,
     version: StorePlace,
     read_at: ClaimTime,
 }
@@ -239,7 +239,7 @@
 pub(crate) async fn read_lead_record<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
-) -> Result<LeadRecord, StoreError> {
+) -> Result<PromotionRecord, StoreError> {
     bounded(read_lease(gateway, service), CALL_TIMEOUT)
         .await
         .map(|read| read.record)
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -12,7 +12,7 @@
 
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::failover::{self, ClaimTime, FailoverLease};
-use linkhold_core::service::primary_verification::LeadRecord;
+use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::store_revision::StorePlace;
 use linkhold_events::Event;
 use tokio::time::sleep;
@@ -79,7 +79,7 @@
 struct NewLease {
     service: ServiceName,
     lease: FailoverLease,
-    record: LeadRecord,
+    record: PromotionRecord,
     version: StorePlace,
 }
 
--- a/crates/linkhold-gateway/src/lease_format.rs
+++ b/crates/linkhold-gateway/src/lease_format.rs
@@ -1,6 +1,6 @@
 //! Failover leases as rows, claims of them that were read, and the last ones this node held.
 //!
-//! A row also tells what the store keeps of the service's promotions ([`LeadRecord`]).
+//! A row also tells what the store keeps of the service's promotions ([`PromotionRecord`]).
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 use linkhold_core::service::failover::{FailoverLease, era_of_token};
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::permission::RecentClaim;
-use linkhold_core::service::primary_verification::LeadRecord;
+use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::store_revision::Era;
 use serde::{Deserialize, Serialize};
 
@@ -32,7 +32,7 @@
 }
 
 /// A lease as a row's value, with what is kept of the service's promotions.
-pub(crate) fn encode_lease(lease: &FailoverLease, record: &LeadRecord) -> Vec<u8> {
+pub(crate) fn encode_lease(lease: &FailoverLease, record: &PromotionRecord) -> Vec<u8> {
     let row = LeaseRow {
         holder: lease.holder.clone(),
         token: lease.token,
@@ -46,10 +46,10 @@
 }
 
 /// Reads a row's value; `None` if it is not a lease.
-pub(crate) fn decode_lease(value: &[u8]) -> Option<(FailoverLease, LeadRecord)> {
+pub(crate) fn decode_lease(value: &[u8]) -> Option<(FailoverLease, PromotionRecord)> {
     let row: LeaseRow = serde_json::from_slice(value).ok()?;
     let instance = |id: String| InstanceId(id.into());
-    let record = LeadRecord {
+    let record = PromotionRecord {
         proved_term: row.proved_term.map(Term),
         claimed: row.claimed.into_iter().map(instance).collect(),
     };
@@ -69,7 +69,7 @@
     /// Those under which a promotion may still take effect.
     pub claims: Vec<RecentClaim>,
     /// What is kept of the promotions of each service that ever had one.
-    pub records: Vec<(ServiceName, LeadRecord)>,
+    pub records: Vec<(ServiceName, PromotionRecord)>,
     /// When they were read; their ages count from no later.
     pub read_at: Instant,
 }
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -11,7 +11,7 @@
 
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::permission::Renewed;
-use linkhold_core::service::primary_verification::LeadRecord;
+use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::readers;
 use linkhold_core::service::store_revision::{Era, StorePlace};
 use linkhold_events::Event;
@@ -383,7 +383,7 @@
 /// Takes in what the store keeps of earlier promotions.
 pub(crate) fn adopt_lead_records<P: Platform>(
     gateway: &Gateway<P>,
-    records: &[(ServiceName, LeadRecord)],
+    records: &[(ServiceName, PromotionRecord)],
 ) {
     for (service, record) in records {
         if let Some(term) = record.proved_term {
--- a/crates/linkhold-gateway/src/state/lead_records.rs
+++ b/crates/linkhold-gateway/src/state/lead_records.rs
@@ -4,29 +4,29 @@
 use std::sync::Mutex;
 
 use linkhold_core::service::configuration::ServiceName;
-use linkhold_core::service::primary_verification::LeadRecord;
+use linkhold_core::service::primary_verification::PromotionRecord;
 
 use crate::beliefs::lock;
 
 /// What the store keeps of earlier promotions; nothing is known until it was read.
 #[derive(Debug, Default)]
-pub(crate) struct LeadRecords(Mutex<Option<HashMap<ServiceName, LeadRecord>>>);
+pub(crate) struct LeadRecords(Mutex<Option<HashMap<ServiceName, PromotionRecord>>>);
 
 impl LeadRecords {
     /// All records were read.
-    pub fn replace(&self, records: &[(ServiceName, LeadRecord)]) {
+    pub fn replace(&self, records: &[(ServiceName, PromotionRecord)]) {
         *lock(&self.0) = Some(records.iter().cloned().collect());
     }
 
     /// The record of a service was read.
-    pub fn update(&self, service: &ServiceName, record: LeadRecord) {
+    pub fn update(&self, service: &ServiceName, record: PromotionRecord) {
         if let Some(known) = &mut *lock(&self.0) {
             known.insert(service.clone(), record);
         }
     }
 
     /// The record of a service, which may be empty; `None` if none were read.
-    pub fn of(&self, service: &str) -> Option<LeadRecord> {
+    pub fn of(&self, service: &str) -> Option<PromotionRecord> {
         let known = lock(&self.0);
         let records = known.as_ref()?;
         Some(records.get(service).cloned().unwrap_or_default())
--- a/crates/linkhold-peer/src/feed/leases.rs
+++ b/crates/linkhold-peer/src/feed/leases.rs
@@ -6,7 +6,7 @@
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::permission::RecentClaim;
-use linkhold_core::service::primary_verification::LeadRecord;
+use linkhold_core::service::primary_verification::PromotionRecord;
 use minicbor::{Decode, Encode};
 
 use crate::milliseconds;
@@ -47,7 +47,7 @@
     claimed: Vec<String>,
 }
 
-pub(super) fn lead_record_to_wire(known: &(ServiceName, LeadRecord)) -> WireLeadRecord {
+pub(super) fn lead_record_to_wire(known: &(ServiceName, PromotionRecord)) -> WireLeadRecord {
     let (service, record) = known;
     WireLeadRecord {
         service: service.to_string(),
@@ -56,9 +56,9 @@
     }
 }
 
-pub(super) fn lead_record_from_wire(wire: WireLeadRecord) -> (ServiceName, LeadRecord) {
+pub(super) fn lead_record_from_wire(wire: WireLeadRecord) -> (ServiceName, PromotionRecord) {
     let claimed = wire.claimed.into_iter().map(|id| InstanceId(id.into()));
-    let record = LeadRecord {
+    let record = PromotionRecord {
         proved_term: wire.proved_term.map(Term),
         claimed: claimed.collect(),
     };
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -8,7 +8,7 @@
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::permission::RecentClaim;
-use linkhold_core::service::primary_verification::LeadRecord;
+use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::store_revision::StorePlace;
 
 /// A node as a reader knows it.
@@ -123,7 +123,7 @@
         claims: Option<Vec<RecentClaim>>,
         /// What the store keeps of earlier promotions, read with the claims; empty without
         /// them.
-        records: Vec<(ServiceName, LeadRecord)>,
+        records: Vec<(ServiceName, PromotionRecord)>,
     },
     /// Enough nodes confirmed, to a question that the reader sent after a renewal had
     /// come, that they have agreed to no other replacements than these.
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -8,7 +8,7 @@
 use linkhold_core::service::configuration::{Configuration, Consistency, Route, ServiceLimits};
 use linkhold_core::service::instance::{Instance, InstanceId, Lifecycle, Role};
 use linkhold_core::service::permission::RecentClaim;
-use linkhold_core::service::primary_verification::LeadRecord;
+use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::regions::AllowedRegions;
 use linkhold_core::service::store_revision::{Era, StorePlace};
 use linkhold_core::tenancy::{Credential, RateLimit, Tenancy, Tenant};
@@ -108,7 +108,7 @@
             }]),
             records: vec![(
                 "ledger".into(),
-                LeadRecord {
+                PromotionRecord {
                     proved_term: Some(Term(3)),
                     claimed: vec![InstanceId("two@7".into())],
                 },
