--- a/crates/linkhold-core/src/service/primary_verification.rs
+++ b/crates/linkhold-core/src/service/primary_verification.rs
@@ -7,7 +7,7 @@
 //!
 //! # Invariant
 //!
-//! No answer is no proof. [`LeadVerdict::Leads`] takes the instance's own word, and that of
+//! No answer is no proof. [`PrimaryVerdict::Leads`] takes the instance's own word, and that of
 //! each other one that may have been promoted since a lead was proved last.
 
 use super::failover::InstanceStatus;
@@ -53,7 +53,7 @@
 
 /// Whether an instance leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeadVerdict {
+pub enum PrimaryVerdict {
     /// Nobody was promoted after it.
     Leads,
     /// It says that it does not lead, or this newer term is known.
@@ -70,20 +70,20 @@
     id: &InstanceId,
     statuses: &[InstanceStatus],
     record: &PromotionRecord,
-) -> LeadVerdict {
+) -> PrimaryVerdict {
     let Some(own) = statuses.iter().find(|status| status.id == *id) else {
-        return LeadVerdict::Silent;
+        return PrimaryVerdict::Silent;
     };
     let told = statuses.iter().map(|status| status.term).max();
     let newest = told.max(record.proved_term).unwrap_or(own.term);
     if own.role != Role::Primary || newest > own.term {
-        return LeadVerdict::Replaced(newest);
+        return PrimaryVerdict::Replaced(newest);
     }
     // One that follows no newer term was not promoted.
     let has_told = |claimed: &InstanceId| statuses.iter().any(|it| it.id == *claimed);
     if record.claimed.iter().all(has_told) {
-        LeadVerdict::Leads
+        PrimaryVerdict::Leads
     } else {
-        LeadVerdict::Unknown
+        PrimaryVerdict::Unknown
     }
 }
--- a/crates/linkhold-core/tests/service_lead.rs
+++ b/crates/linkhold-core/tests/service_lead.rs
@@ -4,7 +4,7 @@
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::failover::InstanceStatus;
 use linkhold_core::service::instance::{InstanceId, Role};
-use linkhold_core::service::primary_verification::{LeadVerdict, PromotionRecord, judge};
+use linkhold_core::service::primary_verification::{PrimaryVerdict, PromotionRecord, judge};
 use proptest::prelude::*;
 
 const NAMES: [&str; 3] = ["one", "two", "three"];
@@ -33,14 +33,14 @@
 fn an_instance_that_is_alone_leads_if_nobody_was_ever_promoted() {
     let alone = [status("one", Role::Primary, 1)];
     let verdict = judge(&id("one"), &alone, &record(&[], None));
-    assert_eq!(verdict, LeadVerdict::Leads);
+    assert_eq!(verdict, PrimaryVerdict::Leads);
 }
 
 #[test]
 fn an_instance_that_does_not_answer_proves_nothing() {
     let others = [status("two", Role::Replica, 1)];
     let verdict = judge(&id("one"), &others, &record(&[], None));
-    assert_eq!(verdict, LeadVerdict::Silent);
+    assert_eq!(verdict, PrimaryVerdict::Silent);
 }
 
 /// Both other instances were away: the first read of a node that started told old data.
@@ -48,16 +48,16 @@
 fn a_newer_term_that_was_proved_counts_while_all_others_are_away() {
     let alone = [status("one", Role::Primary, 1)];
     let verdict = judge(&id("one"), &alone, &record(&[], Some(2)));
-    assert_eq!(verdict, LeadVerdict::Replaced(Term(2)));
+    assert_eq!(verdict, PrimaryVerdict::Replaced(Term(2)));
 }
 
 #[test]
 fn a_claimed_successor_that_is_away_may_have_been_promoted() {
     let alone = [status("one", Role::Primary, 1)];
     let claimed = record(&["two"], None);
-    assert_eq!(judge(&id("one"), &alone, &claimed), LeadVerdict::Unknown);
+    assert_eq!(judge(&id("one"), &alone, &claimed), PrimaryVerdict::Unknown);
     let told = [alone[0].clone(), status("two", Role::Replica, 1)];
-    assert_eq!(judge(&id("one"), &told, &claimed), LeadVerdict::Leads);
+    assert_eq!(judge(&id("one"), &told, &claimed), PrimaryVerdict::Leads);
 }
 
 /// The successor started again with nothing: its word is that of another life.
@@ -68,7 +68,7 @@
         status("two@9", Role::Replica, 1),
     ];
     let claimed = record(&["two@7"], None);
-    assert_eq!(judge(&id("one"), &told, &claimed), LeadVerdict::Unknown);
+    assert_eq!(judge(&id("one"), &told, &claimed), PrimaryVerdict::Unknown);
 }
 
 #[test]
@@ -139,7 +139,7 @@
     let replaced = (0..NAMES.len()).filter(|index| *index != leader);
     replaced
         .map(|index| judge(&id(NAMES[index]), &statuses, &known))
-        .any(|verdict| verdict == LeadVerdict::Leads)
+        .any(|verdict| verdict == PrimaryVerdict::Leads)
 }
 
 proptest! {
@@ -154,7 +154,7 @@
     fn the_leader_is_believed_when_all_answer(history in histories()) {
         let history = History { answers: [true; 3], ..history };
         let (statuses, known, leader) = played(&history);
-        prop_assert_eq!(judge(&id(NAMES[leader]), &statuses, &known), LeadVerdict::Leads);
+        prop_assert_eq!(judge(&id(NAMES[leader]), &statuses, &known), PrimaryVerdict::Leads);
     }
 }
 
--- a/crates/linkhold-gateway/src/evidence/lead_proof.rs
+++ b/crates/linkhold-gateway/src/evidence/lead_proof.rs
@@ -9,7 +9,7 @@
 
 use linkhold_core::service::failover::InstanceStatus;
 use linkhold_core::service::instance::{Instance, InstanceId};
-use linkhold_core::service::primary_verification::{self, LeadVerdict};
+use linkhold_core::service::primary_verification::{self, PrimaryVerdict};
 use linkhold_events::Event;
 
 use crate::evidence::survey;
@@ -48,16 +48,16 @@
         gateway.beliefs.term_seen(&primary.service, status.term);
     }
     match judge(gateway, primary, &statuses).await {
-        LeadVerdict::Leads => {
+        PrimaryVerdict::Leads => {
             gateway.beliefs.prove_lead(&primary.id);
             Ok(())
         }
-        LeadVerdict::Silent => {
+        PrimaryVerdict::Silent => {
             let cause = look_at_silent(gateway, primary).await;
             *last_silent = Some(SilentRound::ended(cause));
             Err(cause)
         }
-        verdict @ (LeadVerdict::Replaced(_) | LeadVerdict::Unknown) => {
+        verdict @ (PrimaryVerdict::Replaced(_) | PrimaryVerdict::Unknown) => {
             log_not_proved(primary, &statuses, verdict);
             gateway.instance_denied_primary(primary);
             Err(NotRunCause::Refused(BackendErrorKind::ReadOnly))
@@ -78,11 +78,11 @@
     gateway: &Gateway<P>,
     instance: &Instance,
     statuses: &[InstanceStatus],
-) -> LeadVerdict {
+) -> PrimaryVerdict {
     let service = &instance.service;
     if let Some(record) = gateway.lead_records.of(service) {
         let verdict = primary_verification::judge(&instance.id, statuses, &record);
-        if verdict != LeadVerdict::Unknown {
+        if verdict != PrimaryVerdict::Unknown {
             return verdict;
         }
     }
@@ -92,7 +92,7 @@
             gateway.lead_records.update(service, record);
             verdict
         }
-        Err(_) => LeadVerdict::Unknown,
+        Err(_) => PrimaryVerdict::Unknown,
     }
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-fn log_not_proved(primary: &Instance, statuses: &[InstanceStatus], verdict: LeadVerdict) {
+fn log_not_proved(primary: &Instance, statuses: &[InstanceStatus], verdict: PrimaryVerdict) {
     let told: Vec<&InstanceId> = statuses.iter().map(|status| &status.id).collect();
     let told: Vec<String> = told.iter().map(ToString::to_string).collect();
     Event::warn("primary_outdated")
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -9,7 +9,7 @@
 use linkhold_core::service::failover::{self, FailoverLease, InstanceStatus, Successor};
 use linkhold_core::service::instance::{Instance, InstanceId, Role};
 use linkhold_core::service::permission::CONFIRMATION_LIFE;
-use linkhold_core::service::primary_verification::LeadVerdict;
+use linkhold_core::service::primary_verification::PrimaryVerdict;
 use linkhold_events::Event;
 use tokio::time::{sleep, sleep_until};
 
@@ -235,7 +235,7 @@
         return false;
     };
     let verdict = lead_proof::judge(gateway, &instance, &situation.statuses).await;
-    if verdict == LeadVerdict::Leads {
+    if verdict == PrimaryVerdict::Leads {
         gateway
             .beliefs
             .confirm_primary(&claimant.id, PrimarySource::Asked);
