--- a/crates/linkhold-core/src/service/evacuation.rs
+++ b/crates/linkhold-core/src/service/evacuation.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::store_revision::StorePlace;
+use super::store_revision::StoreRevision;
 
 /// Name of a zone.
 pub type ZoneName = Arc<str>;
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     /// Place in the store's changes up to which they are known.
-    as_of: StorePlace,
+    as_of: StoreRevision,
     /// The last moment as of which they were vouched for.
     vouched_at: Option<Instant>,
     zones: BTreeMap<ZoneName, Evacuation>,
@@ -74,7 +74,7 @@
     /// changed.
     pub fn replace(
         &mut self,
-        as_of: StorePlace,
+        as_of: StoreRevision,
         zones: impl IntoIterator<Item = ZoneName>,
         bound: Duration,
         now: Instant,
@@ -97,7 +97,7 @@
     /// Takes in changes up to a place in the store's changes; those that are news.
     pub fn apply(
         &mut self,
-        as_of: StorePlace,
+        as_of: StoreRevision,
         changes: impl IntoIterator<Item = EvacuationChange>,
         bound: Duration,
         now: Instant,
@@ -186,7 +186,7 @@
     }
 
     /// Place in the store's changes up to which they are known.
-    pub fn as_of(&self) -> StorePlace {
+    pub fn as_of(&self) -> StoreRevision {
         self.as_of
     }
 }
--- a/crates/linkhold-core/src/service/store_revision.rs
+++ b/crates/linkhold-core/src/service/store_revision.rs
@@ -24,9 +24,9 @@
 /// A place in the store's changes: the era, and the count of changes within it. A place
 /// in a later era is later, whatever its count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct StorePlace(u64);
+pub struct StoreRevision(u64);
 
-impl StorePlace {
+impl StoreRevision {
     /// The place at a count of changes in an era.
     pub fn new(era: Era, count: u64) -> Self {
         let most = (1 << COUNT_BITS) - 1;
@@ -49,13 +49,13 @@
         self.0
     }
 
-    /// From [`StorePlace::to_bits`].
+    /// From [`StoreRevision::to_bits`].
     pub fn from_bits(bits: u64) -> Self {
         Self(bits)
     }
 }
 
-impl fmt::Display for StorePlace {
+impl fmt::Display for StoreRevision {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.era() {
             Era(0) => self.count().fmt(formatter),
--- a/crates/linkhold-core/tests/service_eras.rs
+++ b/crates/linkhold-core/tests/service_eras.rs
@@ -10,13 +10,13 @@
     ClaimDecision, ClaimTime, FailoverLease, LEASE, claim, era_of_token, hold_ready,
 };
 use linkhold_core::service::instance::InstanceId;
-use linkhold_core::service::store_revision::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StoreRevision};
 use proptest::prelude::*;
 
 const BOUND: Duration = Duration::from_millis(5_000);
 
-fn place(era: u32, count: u64) -> StorePlace {
-    StorePlace::new(Era(era), count)
+fn place(era: u32, count: u64) -> StoreRevision {
+    StoreRevision::new(Era(era), count)
 }
 
 fn zones(names: &[&str]) -> Vec<ZoneName> {
@@ -35,7 +35,7 @@
     ) {
         let (one, two) = (place(first, one), place(second, two));
         prop_assert_eq!(one.cmp(&two), (first, one.count()).cmp(&(second, two.count())));
-        prop_assert_eq!(StorePlace::from_bits(one.to_bits()), one);
+        prop_assert_eq!(StoreRevision::from_bits(one.to_bits()), one);
         prop_assert_eq!(one.era(), Era(first));
     }
 
--- a/crates/linkhold-core/tests/service_evacuation.rs
+++ b/crates/linkhold-core/tests/service_evacuation.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::evacuation::{
     EvacuationChange, Evacuations, OPEN_WORK_PERCENT, ZoneName, ZoneState,
 };
-use linkhold_core::service::store_revision::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StoreRevision};
 use proptest::prelude::*;
 
 const BOUND: Duration = Duration::from_millis(5_000);
@@ -37,8 +37,8 @@
 }
 
 /// A place in the store's changes, in the only era.
-fn at(count: u64) -> StorePlace {
-    StorePlace::new(Era::default(), count)
+fn at(count: u64) -> StoreRevision {
+    StoreRevision::new(Era::default(), count)
 }
 
 proptest! {
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -19,7 +19,7 @@
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::placement::{self, Candidate, Distance};
 use linkhold_core::service::regions::AllowedRegions;
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use linkhold_core::service::withholding::Withholdings;
 use linkhold_events::Event;
 use tokio::sync::{Notify, watch};
@@ -66,7 +66,7 @@
     primary_regions: Mutex<Arc<HashMap<ServiceName, AllowedRegions>>>,
     directory_read_at: Mutex<Option<Instant>>,
     instances: Mutex<InstanceBeliefs>,
-    directory_place: Mutex<StorePlace>,
+    directory_place: Mutex<StoreRevision>,
     /// Terms in which logs were proved to end after another one, newest of each service; the
     /// store is to keep them.
     risen_terms: Mutex<BTreeMap<ServiceName, Term>>,
@@ -158,7 +158,7 @@
 
     /// Takes in everything that is listed as of a place in the store's changes,
     /// unless more is known already: what is known never goes back.
-    pub fn replace_instances(&self, listed: Vec<Instance>, place: StorePlace, now: Instant) {
+    pub fn replace_instances(&self, listed: Vec<Instance>, place: StoreRevision, now: Instant) {
         let known = self.directory_place();
         if !self.advance_directory(place) {
             return;
@@ -166,7 +166,7 @@
         for instance in &listed {
             self.log_instance(instance);
         }
-        let is_copy = known != StorePlace::default() && place.era() > known.era();
+        let is_copy = known != StoreRevision::default() && place.era() > known.era();
         let currency = if is_copy {
             Currency::MayBeOlder
         } else {
@@ -196,7 +196,7 @@
 
     /// The list of instances is known up to a place in the store's changes;
     /// `false` if it was known further already.
-    pub fn advance_directory(&self, place: StorePlace) -> bool {
+    pub fn advance_directory(&self, place: StoreRevision) -> bool {
         let mut known = lock(&self.directory_place);
         let is_news = place >= *known;
         if is_news {
@@ -206,7 +206,7 @@
     }
 
     /// The place in the store's changes up to which instances are known.
-    pub fn directory_place(&self) -> StorePlace {
+    pub fn directory_place(&self) -> StoreRevision {
         *lock(&self.directory_place)
     }
 
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/beliefs/eligibility.rs
@@ -11,7 +11,7 @@
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::primary_placement;
 use linkhold_core::service::regions::{AllowedRegions, RegionName};
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use linkhold_events::Event;
 
 use super::{Beliefs, InstanceBeliefs, lock};
@@ -42,7 +42,7 @@
     }
 
     /// Takes in all zones that are evacuated as of a place in the store's changes.
-    pub fn replace_evacuations(&self, zones: Vec<ZoneName>, as_of: StorePlace, now: Instant) {
+    pub fn replace_evacuations(&self, zones: Vec<ZoneName>, as_of: StoreRevision, now: Instant) {
         let bound = self.evacuation_bound;
         let changes = lock(&self.instances)
             .evacuations
@@ -54,7 +54,7 @@
     pub fn change_evacuations(
         &self,
         changes: Vec<EvacuationChange>,
-        as_of: StorePlace,
+        as_of: StoreRevision,
         now: Instant,
     ) {
         let bound = self.evacuation_bound;
@@ -73,7 +73,7 @@
         self.after_evacuations(&changes, as_of);
     }
 
-    fn after_evacuations(&self, changes: &[EvacuationChange], as_of: StorePlace) {
+    fn after_evacuations(&self, changes: &[EvacuationChange], as_of: StoreRevision) {
         if changes.is_empty() {
             return;
         }
@@ -83,7 +83,7 @@
         self.lists_changed();
     }
 
-    fn log_evacuation(&self, change: &EvacuationChange, as_of: StorePlace) {
+    fn log_evacuation(&self, change: &EvacuationChange, as_of: StoreRevision) {
         let (event, zone) = match change {
             EvacuationChange::Evacuated(zone) => (Event::warn("zone_evacuated"), zone),
             EvacuationChange::TakenBack(zone) => (Event::info("evacuation_taken_back"), zone),
@@ -140,7 +140,7 @@
 
     /// The zones that are evacuated, and the place in the store's changes up to
     /// which they are known.
-    pub fn evacuations(&self) -> (Vec<ZoneName>, StorePlace) {
+    pub fn evacuations(&self) -> (Vec<ZoneName>, StoreRevision) {
         let instances = lock(&self.instances);
         let zones = instances.evacuations.zones().map(|(zone, _)| zone.clone());
         (zones.collect(), instances.evacuations.as_of())
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -11,7 +11,7 @@
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::permission::RecentClaim;
 use linkhold_core::service::primary_verification::PromotionRecord;
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use linkhold_events::Event;
 use tokio::time::timeout;
 
@@ -82,7 +82,7 @@
 struct LeaseRead {
     lease: Option<FailoverLease>,
     record: PromotionRecord,
-    version: StorePlace,
+    version: StoreRevision,
     read_at: ClaimTime,
 }
 
@@ -104,7 +104,7 @@
     Ok(LeaseRead {
         lease,
         record: record.unwrap_or_default(),
-        version: row.map_or_else(StorePlace::default, |row| row.version),
+        version: row.map_or_else(StoreRevision::default, |row| row.version),
         read_at: ClaimTime {
             now: rows.now,
             era: rows.era,
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -13,7 +13,7 @@
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::failover::{self, ClaimTime, FailoverLease};
 use linkhold_core::service::primary_verification::PromotionRecord;
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use linkhold_events::Event;
 use tokio::time::sleep;
 
@@ -80,7 +80,7 @@
     service: ServiceName,
     lease: FailoverLease,
     record: PromotionRecord,
-    version: StorePlace,
+    version: StoreRevision,
 }
 
 async fn hold_ready<P: Platform>(
@@ -143,7 +143,7 @@
             service: service.clone(),
             lease,
             record: record.unwrap_or_default(),
-            version: row.map_or_else(StorePlace::default, |row| row.version),
+            version: row.map_or_else(StoreRevision::default, |row| row.version),
         }));
     }
     Ok(new)
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::configuration::Configuration;
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::instance::{Instance, InstanceId};
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use linkhold_peer::{
     FeedEvacuations, FeedFleet, FeedFleetChanges, FeedInstanceChanges, FeedInstances, FeedMessage,
     FeedNode, PeerKey,
@@ -64,7 +64,7 @@
 
     /// The zones that are evacuated as of a place in the store's changes; encoded
     /// anew when that has moved.
-    pub fn evacuations(&self, zones: &[ZoneName], as_of: StorePlace, key: &PeerKey) -> Frame {
+    pub fn evacuations(&self, zones: &[ZoneName], as_of: StoreRevision, key: &PeerKey) -> Frame {
         let message = || {
             FeedMessage::Evacuations(FeedEvacuations {
                 place: as_of,
@@ -152,7 +152,7 @@
 pub(crate) struct InstanceSnapshot {
     /// Counts changes of their list and of the configuration.
     revision: u64,
-    place: StorePlace,
+    place: StoreRevision,
     instances: HashMap<InstanceId, (Instance, bool)>,
 }
 
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -6,7 +6,7 @@
 
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::readers::shed_probability;
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use linkhold_peer::{EvidenceQuestion, FeedMessage, ListMoment, PeerKey};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -296,7 +296,7 @@
     // None at all is what a follower starts with, unless another reader told it some.
     let (evacuated, as_of) = gateway.beliefs.evacuations();
     let has_told = told.revision.is_some();
-    if evacuated != told.evacuated || !has_told && as_of != StorePlace::default() {
+    if evacuated != told.evacuated || !has_told && as_of != StoreRevision::default() {
         let frame = frames.evacuations(&evacuated, as_of, key);
         news.push((FeedKind::Evacuations, frame));
         told.evacuated = evacuated;
--- a/crates/linkhold-gateway/src/keeper.rs
+++ b/crates/linkhold-gateway/src/keeper.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use linkhold_events::Event;
 use tokio::time::sleep;
 
@@ -80,7 +80,7 @@
 /// zones. Runs until the process ends.
 pub async fn keep_configuration<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut contact = Contact::new(&gateway, "configuration");
-    let mut place: Option<StorePlace> = None;
+    let mut place: Option<StoreRevision> = None;
     loop {
         if gateway.sources.wait_until_reading().await {
             place = None;
@@ -104,7 +104,7 @@
     }
 }
 
-async fn read_operator<P: Platform>(gateway: &Gateway<P>) -> Result<StorePlace, StoreError> {
+async fn read_operator<P: Platform>(gateway: &Gateway<P>) -> Result<StoreRevision, StoreError> {
     let asked_at = Instant::now();
     let call = gateway.platform.read_operator();
     let (state, next) = bounded(call, READ_TIMEOUT).await?;
@@ -121,8 +121,8 @@
 
 async fn follow_operator<P: Platform>(
     gateway: &Gateway<P>,
-    from: StorePlace,
-) -> Result<StorePlace, StoreError> {
+    from: StoreRevision,
+) -> Result<StoreRevision, StoreError> {
     let asked_at = Instant::now();
     let wait = gateway.store_wait();
     let call = gateway.platform.follow_operator(from, wait);
@@ -139,7 +139,7 @@
 /// Keeps the list of instances. Runs until the process ends.
 pub async fn keep_instances<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut contact = Contact::new(&gateway, "instances");
-    let mut place: Option<StorePlace> = None;
+    let mut place: Option<StoreRevision> = None;
     loop {
         if gateway.sources.wait_until_reading().await {
             place = None;
@@ -165,7 +165,7 @@
     }
 }
 
-async fn read_instances<P: Platform>(gateway: &Gateway<P>) -> Result<StorePlace, StoreError> {
+async fn read_instances<P: Platform>(gateway: &Gateway<P>) -> Result<StoreRevision, StoreError> {
     let asked_at = Instant::now();
     let call = gateway.platform.read_instances();
     let (listed, next) = bounded(call, READ_TIMEOUT).await?;
@@ -180,8 +180,8 @@
 
 async fn follow_instances<P: Platform>(
     gateway: &Gateway<P>,
-    from: StorePlace,
-) -> Result<StorePlace, StoreError> {
+    from: StoreRevision,
+) -> Result<StoreRevision, StoreError> {
     let asked_at = Instant::now();
     let wait = gateway.store_wait();
     let call = gateway.platform.follow_instances(from, wait);
--- a/crates/linkhold-gateway/src/ports/store.rs
+++ b/crates/linkhold-gateway/src/ports/store.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::configuration::Configuration;
 use linkhold_core::service::evacuation::{EvacuationChange, ZoneName};
 use linkhold_core::service::instance::Instance;
-use linkhold_core::service::store_revision::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StoreRevision};
 use thiserror::Error;
 
 /// The store could not be used.
@@ -62,13 +62,13 @@
     /// All of them, and the place from which to follow.
     fn read_operator(
         &self,
-    ) -> impl Future<Output = Result<(OperatorState, StorePlace), StoreError>> + Send;
+    ) -> impl Future<Output = Result<(OperatorState, StoreRevision), StoreError>> + Send;
     /// Changes; returns when there is one or after `wait`.
     fn follow_operator(
         &self,
-        from: StorePlace,
+        from: StoreRevision,
         wait: Duration,
-    ) -> impl Future<Output = Result<(OperatorChanges, StorePlace), StoreError>> + Send;
+    ) -> impl Future<Output = Result<(OperatorChanges, StoreRevision), StoreError>> + Send;
 }
 
 /// Where instances announce themselves.
@@ -78,13 +78,13 @@
     /// All instances, and the place from which to follow.
     fn read_instances(
         &self,
-    ) -> impl Future<Output = Result<(Vec<Instance>, StorePlace), StoreError>> + Send;
+    ) -> impl Future<Output = Result<(Vec<Instance>, StoreRevision), StoreError>> + Send;
     /// Changes; returns when there is one or after `wait`.
     fn follow_instances(
         &self,
-        from: StorePlace,
+        from: StoreRevision,
         wait: Duration,
-    ) -> impl Future<Output = Result<(Vec<DirectoryChange>, StorePlace), StoreError>> + Send;
+    ) -> impl Future<Output = Result<(Vec<DirectoryChange>, StoreRevision), StoreError>> + Send;
 }
 
 /// A row of the metadata store.
@@ -95,7 +95,7 @@
     /// Its value.
     pub value: Vec<u8>,
     /// Version for conditional writes.
-    pub version: StorePlace,
+    pub version: StoreRevision,
 }
 
 /// Which rows of a table are read, in the order of their keys.
@@ -128,14 +128,14 @@
     /// Its value.
     pub value: Vec<u8>,
     /// Version that it must have (the default: not there); `None`: any.
-    pub expected: Option<StorePlace>,
+    pub expected: Option<StoreRevision>,
 }
 
 /// Result of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
     /// Done; the rows have this version, unless others wrote at the same time.
-    Written(StorePlace),
+    Written(StoreRevision),
     /// The row had changed; nothing was done.
     Conflict,
 }
@@ -169,6 +169,6 @@
         &self,
         table: FleetTable,
         key: &str,
-        expected: StorePlace,
+        expected: StoreRevision,
     ) -> impl Future<Output = Result<WriteResult, StoreError>> + Send;
 }
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -13,7 +13,7 @@
 use linkhold_core::service::permission::Renewed;
 use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::readers;
-use linkhold_core::service::store_revision::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StoreRevision};
 use linkhold_events::Event;
 use linkhold_peer::{FeedMessage, PeerKey};
 use tokio::time::{sleep, timeout_at};
@@ -149,7 +149,7 @@
             table: FleetTable::Nodes,
             key: PEER_KEY_ROW,
             value: key.secret().to_vec(),
-            expected: Some(StorePlace::default()),
+            expected: Some(StoreRevision::default()),
         });
     }
     if rows.is_empty() {
@@ -161,7 +161,7 @@
     bounded(call, CALL_TIMEOUT).await.map(|_| ())
 }
 
-fn era_row(era: Era, since: u64, expected: StorePlace) -> Result<RowWrite<'static>, StoreError> {
+fn era_row(era: Era, since: u64, expected: StoreRevision) -> Result<RowWrite<'static>, StoreError> {
     let row = EraRow { era: era.0, since };
     Ok(RowWrite {
         table: FleetTable::Nodes,
@@ -219,7 +219,7 @@
     gateway: &Gateway<P>,
     key: &str,
     own: &Process,
-) -> Result<StorePlace, StoreError> {
+) -> Result<StoreRevision, StoreError> {
     if let Some(version) = gateway.own_row.take_version() {
         return Ok(version);
     }
@@ -248,7 +248,7 @@
 async fn claim_name<P: Platform>(
     gateway: &Gateway<P>,
     own: &Process,
-) -> Result<StorePlace, StoreError> {
+) -> Result<StoreRevision, StoreError> {
     let registry = read_registry(gateway, CallReason::Register).await?;
     let others = registry.other_processes(own).cloned().collect();
     let namesakes = Namesakes::look(others).await;
@@ -416,7 +416,7 @@
         table: FleetTable::Nodes,
         key: PEER_KEY_ROW,
         value: own.to_vec(),
-        expected: Some(StorePlace::default()),
+        expected: Some(StoreRevision::default()),
     };
     let rows = [key];
     let call = gateway.platform.write_rows(&rows);
@@ -440,7 +440,7 @@
     if era == Era::default() {
         return Ok(());
     }
-    let rows = [era_row(era, 0, StorePlace::default())?];
+    let rows = [era_row(era, 0, StoreRevision::default())?];
     gateway.metrics.store_calls.count(CallReason::Key);
     let call = gateway.platform.write_rows(&rows);
     bounded(call, CALL_TIMEOUT).await.map(|_| ())
--- a/crates/linkhold-gateway/src/registry.rs
+++ b/crates/linkhold-gateway/src/registry.rs
@@ -12,7 +12,7 @@
 
 use linkhold_core::service::permission::FORMER_TIME;
 use linkhold_core::service::readers::{READER_EXPIRY, ROW_EXPIRY, SETTLING_TIME};
-use linkhold_core::service::store_revision::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StoreRevision};
 use linkhold_events::Event;
 use linkhold_peer::{FeedNode, MAX_FEED_MESSAGE, PeerKey, milliseconds};
 use serde::{Deserialize, Serialize};
@@ -253,7 +253,7 @@
     /// What this node's own row lists as its followers.
     pub own_followers: Vec<Registration>,
     /// Version of this node's own row; the default if it has none.
-    pub own_version: StorePlace,
+    pub own_version: StoreRevision,
     /// The process that wrote it.
     pub own_writer: Option<Process>,
     /// The store's era.
@@ -261,7 +261,7 @@
     /// What the table tells of it.
     pub era_row: Option<EraRow>,
     /// Version of that row; the default if there is none.
-    pub era_version: StorePlace,
+    pub era_version: StoreRevision,
 }
 
 impl Registry {
@@ -275,11 +275,11 @@
             members: BTreeMap::new(),
             processes: BTreeMap::new(),
             own_followers: Vec::new(),
-            own_version: StorePlace::default(),
+            own_version: StoreRevision::default(),
             own_writer: None,
             era: rows.era,
             era_row: None,
-            era_version: StorePlace::default(),
+            era_version: StoreRevision::default(),
         };
         for row in &rows.rows {
             if row.key == PEER_KEY_ROW {
--- a/crates/linkhold-gateway/src/state/own_row.rs
+++ b/crates/linkhold-gateway/src/state/own_row.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use tokio::sync::MutexGuard;
 
 use crate::beliefs::lock;
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct OwnRow {
     /// Its version as it was read last, unless it was written since.
-    version: Mutex<Option<StorePlace>>,
+    version: Mutex<Option<StoreRevision>>,
     /// This process has written it.
     was_written: AtomicBool,
     /// One write is under way at a time.
@@ -26,7 +26,7 @@
     }
 
     /// The row was read with this version; the default if it is not there.
-    pub fn read(&self, version: StorePlace) {
+    pub fn read(&self, version: StoreRevision) {
         *lock(&self.version) = Some(version);
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Its version, which is not known any more once it is used.
-    pub fn take_version(&self) -> Option<StorePlace> {
+    pub fn take_version(&self) -> Option<StoreRevision> {
         lock(&self.version).take()
     }
 }
--- a/crates/linkhold-gateway/tests/registry.rs
+++ b/crates/linkhold-gateway/tests/registry.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::store_revision::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StoreRevision};
 use linkhold_gateway::ports::{StoredRow, StoredRows};
 use linkhold_gateway::registry::{PEER_KEY_ROW, Registration, Registry, encode_row};
 use linkhold_peer::FeedNode;
@@ -34,7 +34,7 @@
     StoredRow {
         key: row.key,
         value: row.value,
-        version: StorePlace::new(Era::default(), 1),
+        version: StoreRevision::new(Era::default(), 1),
     }
 }
 
@@ -108,12 +108,12 @@
     let strange = StoredRow {
         key: "a/strange".to_owned(),
         value: b"{\"name\": 3".to_vec(),
-        version: StorePlace::new(Era::default(), 1),
+        version: StoreRevision::new(Era::default(), 1),
     };
     let key = StoredRow {
         key: PEER_KEY_ROW.to_owned(),
         value: vec![7; 32],
-        version: StorePlace::new(Era::default(), 2),
+        version: StoreRevision::new(Era::default(), 2),
     };
     let known = registry(vec![key, strange, row("r-1", None, &[], 5)], 10);
     assert!(known.key.is_some());
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -9,7 +9,7 @@
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::permission::RecentClaim;
 use linkhold_core::service::primary_verification::PromotionRecord;
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 
 /// A node as a reader knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedInstances {
     /// The place in the store's changes up to which they were read.
-    pub place: StorePlace,
+    pub place: StoreRevision,
     /// Each instance, and whether it is still listed.
     pub instances: Vec<(Instance, bool)>,
 }
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedInstanceChanges {
     /// The place in the store's changes up to which they were read.
-    pub place: StorePlace,
+    pub place: StoreRevision,
     /// Instances that are new or have changed, and whether they are listed.
     pub changed: Vec<(Instance, bool)>,
     /// Instances that are no longer known.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedEvacuations {
     /// The place in the store's changes up to which they were read.
-    pub place: StorePlace,
+    pub place: StoreRevision,
     /// The zones.
     pub zones: Vec<ZoneName>,
 }
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -14,7 +14,7 @@
 
 use linkhold_core::service::evacuation::ZoneName;
 use linkhold_core::service::instance::InstanceId;
-use linkhold_core::service::store_revision::StorePlace;
+use linkhold_core::service::store_revision::StoreRevision;
 use minicbor::{Decode, Encode};
 
 use crate::packing::{pack, unpack};
@@ -202,17 +202,17 @@
             FeedMessage::Configuration(configuration_from_wire(wire)?)
         }
         WireMessage::Evacuations(place, zones) => FeedMessage::Evacuations(FeedEvacuations {
-            place: StorePlace::from_bits(place),
+            place: StoreRevision::from_bits(place),
             zones: zones.into_iter().map(ZoneName::from).collect(),
         }),
         WireMessage::Instances(place, wire) => FeedMessage::Instances(FeedInstances {
-            place: StorePlace::from_bits(place),
+            place: StoreRevision::from_bits(place),
             instances: instances_from_wire(wire)?,
         }),
         WireMessage::InstanceChanges(place, changed, gone) => {
             let gone = gone.into_iter().map(|id| InstanceId(id.into()));
             FeedMessage::InstanceChanges(FeedInstanceChanges {
-                place: StorePlace::from_bits(place),
+                place: StoreRevision::from_bits(place),
                 changed: instances_from_wire(changed)?,
                 gone: gone.collect(),
             })
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -10,7 +10,7 @@
 use linkhold_core::service::permission::RecentClaim;
 use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::regions::AllowedRegions;
-use linkhold_core::service::store_revision::{Era, StorePlace};
+use linkhold_core::service::store_revision::{Era, StoreRevision};
 use linkhold_core::tenancy::{Credential, RateLimit, Tenancy, Tenant};
 use linkhold_peer::{
     EvidenceAnswer, EvidenceQuestion, FeedFleet, FeedFleetChanges, FeedInstanceChanges,
@@ -121,7 +121,7 @@
         FeedMessage::Relay(InstanceId("i-1".into())),
         FeedMessage::Relayed,
         FeedMessage::InstanceChanges(FeedInstanceChanges {
-            place: StorePlace::new(Era(2), 9),
+            place: StoreRevision::new(Era(2), 9),
             changed: vec![(instance.clone(), false)],
             gone: vec![InstanceId("two".into())],
         }),
@@ -145,7 +145,7 @@
         }),
         FeedMessage::Configuration(configuration()),
         FeedMessage::Instances(FeedInstances {
-            place: StorePlace::new(Era::default(), 77),
+            place: StoreRevision::new(Era::default(), 77),
             instances: vec![(instance, false)],
         }),
         FeedMessage::Fleet(FeedFleet {
