--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -33,7 +33,7 @@
 
 /// How a list of instances stands to what is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Currency {
+pub enum Recency {
     /// It is what is listed now.
     Present,
     /// It is from a copy, made before the last changes that are known.
@@ -209,7 +209,7 @@
     pub fn replace(
         &mut self,
         listed: Vec<Instance>,
-        currency: Currency,
+        currency: Recency,
         now: Instant,
     ) -> Vec<PrimaryChange> {
         self.read(now);
@@ -226,7 +226,7 @@
         listed
             .into_iter()
             .filter_map(|instance| {
-                if currency == Currency::MayBeOlder {
+                if currency == Recency::MayBeOlder {
                     self.announce_from_copy(instance, now)
                 } else {
                     self.announce(instance, now)
--- a/crates/linkhold-core/tests/service_lives.rs
+++ b/crates/linkhold-core/tests/service_lives.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::directory::{Currency, Directory, PrimarySource};
+use linkhold_core::service::directory::{Directory, PrimarySource, Recency};
 use linkhold_core::service::instance::{Instance, InstanceId, Lifecycle, Role};
 use proptest::prelude::*;
 
@@ -78,7 +78,7 @@
     directory.announce(life("one", 9, Role::Replica), now);
     directory.announce(life("two", 7, Role::Primary), now);
     let copy = vec![life("one", 7, Role::Primary), life("two", 7, Role::Replica)];
-    directory.replace(copy, Currency::MayBeOlder, now);
+    directory.replace(copy, Recency::MayBeOlder, now);
     assert!(
         directory
             .instance(&InstanceId::of_life("one", Some(7)))
@@ -95,13 +95,13 @@
     directory.announce(life("one", 7, Role::Replica), now);
     directory.announce(life("two", 7, Role::Primary), now);
     let copy = || vec![life("one", 7, Role::Primary), life("two", 7, Role::Replica)];
-    directory.replace(copy(), Currency::MayBeOlder, now);
+    directory.replace(copy(), Recency::MayBeOlder, now);
     assert_ne!(primary(&directory).as_deref(), Some("one@7"));
     // The same list, if it is that of the present, does.
     let mut present = Directory::default();
     present.announce(life("one", 7, Role::Replica), now);
     present.announce(life("two", 7, Role::Primary), now);
-    present.replace(copy(), Currency::Present, now);
+    present.replace(copy(), Recency::Present, now);
     assert_eq!(primary(&present).as_deref(), Some("one@7"));
 }
 
@@ -115,7 +115,7 @@
     };
     directory.announce(leaving, now);
     let copy = vec![life("one", 7, Role::Replica)];
-    directory.replace(copy, Currency::MayBeOlder, now);
+    directory.replace(copy, Recency::MayBeOlder, now);
     let one = InstanceId::of_life("one", Some(7));
     assert!(directory.is_leaving(&one, now));
 }
@@ -131,7 +131,7 @@
     };
     directory.announce(cold, now);
     let copy = vec![life("one", 7, Role::Replica)];
-    directory.replace(copy, Currency::MayBeOlder, now);
+    directory.replace(copy, Recency::MayBeOlder, now);
     let one = InstanceId::of_life("one", Some(7));
     assert!(directory.is_cold(&one, now + Duration::from_millis(2_900)));
     assert!(!directory.is_cold(&one, now + Duration::from_millis(3_000)));
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -11,7 +11,7 @@
 
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::configuration::{Configuration, ServiceLimits, ServiceName};
-use linkhold_core::service::directory::{Currency, Directory, PrimaryChange};
+use linkhold_core::service::directory::{Directory, PrimaryChange, Recency};
 use linkhold_core::service::eligibility::Engagement;
 use linkhold_core::service::evacuation::Evacuations;
 use linkhold_core::service::evidence::{EvidenceLog, Sample};
@@ -168,9 +168,9 @@
         }
         let is_copy = known != StoreRevision::default() && place.era() > known.era();
         let currency = if is_copy {
-            Currency::MayBeOlder
+            Recency::MayBeOlder
         } else {
-            Currency::Present
+            Recency::Present
         };
         let mut instances = lock(&self.instances);
         if is_copy {
