--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -27,7 +27,7 @@
 use super::configuration::ServiceName;
 use super::incarnations::{IncarnationChange, KnownIncarnations};
 use super::instance::{Instance, InstanceId, Lifecycle, Role};
-use primaries::PrimaryBelief;
+use primaries::KnownPrimary;
 
 pub use primaries::{PrimaryChange, PrimarySource};
 
@@ -71,7 +71,7 @@
     lives: KnownIncarnations,
     /// Lives that have ended and were not returned by [`Directory::expire`] yet.
     ended: Vec<InstanceId>,
-    primaries: HashMap<ServiceName, PrimaryBelief>,
+    primaries: HashMap<ServiceName, KnownPrimary>,
     contact: Contact,
 }
 
--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -30,7 +30,7 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct PrimaryBelief {
+pub(super) struct KnownPrimary {
     pub current: Option<InstanceId>,
     /// That it leads was seen to begin, or was told when it was asked: an entry that says so
     /// when it is first seen may be that of an instance which was replaced before.
@@ -43,7 +43,7 @@
 /// each other as primaries while one of them may come back.
 const MOST_DENIED: usize = 32;
 
-impl PrimaryBelief {
+impl KnownPrimary {
     pub fn deny(&mut self, id: &InstanceId) {
         self.denied.retain(|denied| denied != id);
         self.denied.push(id.clone());
