--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -174,7 +174,7 @@
 
 /// What decides whether a node may send to an instance that is not known warm.
 #[derive(Clone, Copy, Debug)]
-pub struct SpenderStanding {
+pub struct SenderRank {
     /// Its place among the owners, in the order that all nodes share.
     pub rank: Option<usize>,
     /// How long ago it heard of the fleet.
@@ -186,7 +186,7 @@
 }
 
 /// Whether a node may send to an instance that is not known warm.
-pub fn may_spend(standing: SpenderStanding) -> bool {
+pub fn may_spend(standing: SenderRank) -> bool {
     let joined = if standing.was_listed {
         LAST_LIFE
     } else {
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::warm_up::{
-    ANSWER_LIFE, QUESTION_INTERVAL, SPENDERS, SecondCount, SpenderStanding, WarmUpLimit,
-    WarmUpRules, Warmth, may_spend,
+    ANSWER_LIFE, QUESTION_INTERVAL, SPENDERS, SecondCount, SenderRank, WarmUpLimit, WarmUpRules,
+    Warmth, may_spend,
 };
 use proptest::prelude::*;
 
@@ -81,7 +81,7 @@
         }
         let now = start + milliseconds(tick);
         let life_time = started.map_or(Duration::MAX, |at| milliseconds(tick - at));
-        let standing = SpenderStanding {
+        let standing = SenderRank {
             rank: Some(life.rank),
             view_age: life
                 .cut_off_at
@@ -273,7 +273,7 @@
 
 #[test]
 fn a_node_that_is_new_or_has_lost_sight_of_the_fleet_sends_nothing() {
-    let well = SpenderStanding {
+    let well = SenderRank {
         rank: Some(1),
         view_age: milliseconds(500),
         life_time: milliseconds(2_000),
@@ -281,20 +281,20 @@
     };
     assert!(may_spend(well));
     for standing in [
-        SpenderStanding { rank: None, ..well },
-        SpenderStanding {
+        SenderRank { rank: None, ..well },
+        SenderRank {
             rank: Some(SPENDERS),
             ..well
         },
-        SpenderStanding {
+        SenderRank {
             view_age: milliseconds(6_500),
             ..well
         },
-        SpenderStanding {
+        SenderRank {
             life_time: milliseconds(900),
             ..well
         },
-        SpenderStanding {
+        SenderRank {
             was_listed: false,
             ..well
         },
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::instance::Instance;
-use linkhold_core::service::warm_up::{self, SpenderStanding, WarmUpLimit};
+use linkhold_core::service::warm_up::{self, SenderRank, WarmUpLimit};
 use tokio::time::sleep;
 
 use crate::gateway::Gateway;
@@ -132,9 +132,9 @@
         })
     }
 
-    fn spender_standing(&self, instance: &Instance) -> SpenderStanding {
+    fn spender_standing(&self, instance: &Instance) -> SenderRank {
         let owners = self.pools.owners().of(instance);
-        SpenderStanding {
+        SenderRank {
             rank: owners.rank().filter(|_| self.fleet.knows_all()),
             view_age: self.beliefs.directory_age(),
             life_time: self.started_at.elapsed(),
