--- a/crates/linkhold-core/src/service/eligibility.rs
+++ b/crates/linkhold-core/src/service/eligibility.rs
@@ -13,7 +13,7 @@
 
 /// How a statement is bound to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Engagement {
+pub enum StatementBinding {
     /// Not yet: another instance would do.
     Free,
     /// Only this instance will do: it holds the transaction, or is the primary.
@@ -41,13 +41,13 @@
 }
 
 /// Whether a statement may be sent.
-pub fn check(standing: Standing, engagement: Engagement) -> Result<(), Ineligible> {
+pub fn check(standing: Standing, engagement: StatementBinding) -> Result<(), Ineligible> {
     if !standing.is_in_regions {
         return Err(Ineligible::OutsideRegions);
     }
     match (standing.zone, engagement) {
-        (ZoneState::InService, _) | (ZoneState::Emptying, Engagement::Bound) => Ok(()),
-        (ZoneState::Emptying, Engagement::Free) | (ZoneState::Closed, _) => {
+        (ZoneState::InService, _) | (ZoneState::Emptying, StatementBinding::Bound) => Ok(()),
+        (ZoneState::Emptying, StatementBinding::Free) | (ZoneState::Closed, _) => {
             Err(Ineligible::Evacuated)
         }
     }
--- a/crates/linkhold-core/tests/service_evacuation.rs
+++ b/crates/linkhold-core/tests/service_evacuation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::eligibility::{Engagement, Ineligible, Standing, check};
+use linkhold_core::service::eligibility::{Ineligible, Standing, StatementBinding, check};
 use linkhold_core::service::evacuation::{
     EvacuationChange, Evacuations, OPEN_WORK_PERCENT, ZoneName, ZoneState,
 };
@@ -108,10 +108,10 @@
         let asked_at = learnt_at + milliseconds(asked_after);
         let zone = evacuations.state("a", asked_at);
         let standing = Standing { is_in_regions: true, zone };
-        prop_assert_eq!(check(standing, Engagement::Free), Err(Ineligible::Evacuated));
+        prop_assert_eq!(check(standing, StatementBinding::Free), Err(Ineligible::Evacuated));
         let ends_at = learnt_at.max(acknowledged_at + BOUND * OPEN_WORK_PERCENT / 100);
         if asked_at >= ends_at {
-            prop_assert_eq!(check(standing, Engagement::Bound), Err(Ineligible::Evacuated));
+            prop_assert_eq!(check(standing, StatementBinding::Bound), Err(Ineligible::Evacuated));
         }
         prop_assert_eq!(evacuations.state("b", asked_at), ZoneState::InService);
     }
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -12,7 +12,7 @@
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::configuration::{Configuration, ServiceLimits, ServiceName};
 use linkhold_core::service::directory::{Directory, PrimaryChange, Recency};
-use linkhold_core::service::eligibility::Engagement;
+use linkhold_core::service::eligibility::StatementBinding;
 use linkhold_core::service::evacuation::Evacuations;
 use linkhold_core::service::evidence::{EvidenceLog, Sample};
 use linkhold_core::service::health::InstanceHealth;
@@ -378,7 +378,7 @@
         let has_warm_up = self.limits(service).is_some_and(|it| it.warm_up.is_some());
         let instances = lock(&self.instances);
         let may_run = |instance: &Instance| {
-            self.eligibility_in(&instances, instance, regions, Engagement::Free)
+            self.eligibility_in(&instances, instance, regions, StatementBinding::Free)
                 .is_ok()
         };
         let unknown = InstanceHealth::default();
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/beliefs/eligibility.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use linkhold_core::service::configuration::{Configuration, ServiceName};
-use linkhold_core::service::eligibility::{self, Engagement, Ineligible, Standing};
+use linkhold_core::service::eligibility::{self, Ineligible, Standing, StatementBinding};
 use linkhold_core::service::evacuation::{EvacuationChange, ZoneName};
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::primary_placement;
@@ -151,7 +151,7 @@
         &self,
         instance: &Instance,
         regions: &AllowedRegions,
-        engagement: Engagement,
+        engagement: StatementBinding,
     ) -> Result<(), Ineligible> {
         let instances = lock(&self.instances);
         self.eligibility_in(&instances, instance, regions, engagement)
@@ -162,7 +162,7 @@
         instances: &InstanceBeliefs,
         instance: &Instance,
         regions: &AllowedRegions,
-        engagement: Engagement,
+        engagement: StatementBinding,
     ) -> Result<(), Ineligible> {
         let zone = instances.evacuations.state(&instance.zone, Instant::now());
         let standing = Standing {
@@ -182,7 +182,7 @@
         }
         let mut barrier = None;
         for instance in instances.directory.instances(service) {
-            match self.eligibility_in(&instances, instance, regions, Engagement::Free) {
+            match self.eligibility_in(&instances, instance, regions, StatementBinding::Free) {
                 Ok(()) => return None,
                 // One that is evacuated stands in the regions: that is what is told.
                 Err(Ineligible::Evacuated) => barrier = Some(Ineligible::Evacuated),
@@ -203,7 +203,7 @@
     /// Whether an instance stands where a primary of its service should.
     pub fn is_well_placed(&self, instance: &Instance) -> bool {
         let regions = self.primary_regions(&instance.service);
-        self.eligibility(instance, &regions, Engagement::Free)
+        self.eligibility(instance, &regions, StatementBinding::Free)
             .is_ok()
     }
 
--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use linkhold_core::service::eligibility::Engagement;
+use linkhold_core::service::eligibility::StatementBinding;
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::regions::AllowedRegions;
 use linkhold_core::tenancy::ConnectionHolder;
@@ -169,7 +169,7 @@
     let everywhere = AllowedRegions::Everywhere;
     beliefs.is_withheld(&instance.id)
         || beliefs
-            .eligibility(instance, &everywhere, Engagement::Bound)
+            .eligibility(instance, &everywhere, StatementBinding::Bound)
             .is_err()
 }
 
--- a/crates/linkhold-gateway/src/request/attempt/exchange.rs
+++ b/crates/linkhold-gateway/src/request/attempt/exchange.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::eligibility::{Engagement, Ineligible};
+use linkhold_core::service::eligibility::{Ineligible, StatementBinding};
 use linkhold_core::service::session::TransactionStatus;
 use linkhold_events::Event;
 
@@ -135,7 +135,7 @@
         return Err(Ineligible::OutsideRegions);
     }
     let beliefs = &gateway.beliefs;
-    beliefs.eligibility(lease.instance(), principal.regions, Engagement::Bound)
+    beliefs.eligibility(lease.instance(), principal.regions, StatementBinding::Bound)
 }
 
 /// A statement that may not be sent. The connection is closed, which undoes what
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -15,7 +15,7 @@
 use linkhold_core::outcome::{Failure, NotRun, Unknown};
 use linkhold_core::position::Position;
 use linkhold_core::service::configuration::{Consistency, Route};
-use linkhold_core::service::eligibility::{Engagement, Ineligible};
+use linkhold_core::service::eligibility::{Ineligible, StatementBinding};
 use linkhold_core::service::evidence::{Sample, session_fence};
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::regions::{AllowedRegions, RegionName};
@@ -231,7 +231,7 @@
 ) -> Option<Ineligible> {
     let beliefs = &gateway.beliefs;
     beliefs
-        .eligibility(primary, unit.regions, Engagement::Bound)
+        .eligibility(primary, unit.regions, StatementBinding::Bound)
         .err()
 }
 
