--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -90,7 +90,7 @@
 
 /// What a confirmed renewal means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Renewed {
+pub enum RenewalOutcome {
     /// The node goes on.
     Continued,
     /// The node had no permission: it is to read the leases before it has one.
@@ -110,12 +110,12 @@
 impl Permission {
     /// The store confirmed a renewal that was sent at a moment. A node without a
     /// permission has none before [`Permission::admitted`].
-    pub fn renewed(&mut self, sent_at: Instant, now: Instant) -> Renewed {
+    pub fn renewed(&mut self, sent_at: Instant, now: Instant) -> RenewalOutcome {
         if !self.holds(now) {
-            return Renewed::ToBeAdmitted;
+            return RenewalOutcome::ToBeAdmitted;
         }
         self.listing.confirmed(sent_at);
-        Renewed::Continued
+        RenewalOutcome::Continued
     }
 
     /// The node is listed by a renewal that was sent at a moment, and has read which
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::listing::LISTING_LIFE;
 use linkhold_core::service::permission::{
     CLAIM_EFFECT, CONFIRMATION_LIFE, CONSENT_MEMORY, Consents, FORMER_TIME, FleetSizes, Permission,
-    RecentClaim, Renewed, agreements_needed, confirmations_needed,
+    RecentClaim, RenewalOutcome, agreements_needed, confirmations_needed,
 };
 use linkhold_core::service::readers::ROW_EXPIRY;
 use proptest::prelude::*;
@@ -25,7 +25,10 @@
 /// A node that was listed by a renewal sent at `start`.
 fn listed(start: Instant) -> Permission {
     let mut permission = Permission::default();
-    assert_eq!(permission.renewed(start, start), Renewed::ToBeAdmitted);
+    assert_eq!(
+        permission.renewed(start, start),
+        RenewalOutcome::ToBeAdmitted
+    );
     permission.admitted(start, &[], start);
     permission
 }
@@ -55,7 +58,7 @@
     let start = Instant::now();
     let mut permission = listed(start);
     let back = start + ROW_EXPIRY;
-    assert_eq!(permission.renewed(back, back), Renewed::ToBeAdmitted);
+    assert_eq!(permission.renewed(back, back), RenewalOutcome::ToBeAdmitted);
     assert!(!permission.holds(back));
     let claim = RecentClaim {
         service: SERVICE.into(),
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use linkhold_core::service::listing::SentRenewals;
-use linkhold_core::service::permission::{RecentClaim, Renewed};
+use linkhold_core::service::permission::{RecentClaim, RenewalOutcome};
 use linkhold_core::service::readers::FOLLOWER_RENEWAL;
 use linkhold_events::Event;
 use linkhold_peer::{FeedMessage, ListMoment, MAX_FEED_MESSAGE, PeerKey, decode_feed};
@@ -240,13 +240,13 @@
         };
         let permission = &self.gateway.beliefs.permission;
         match (permission.renewed(sent_at), claims) {
-            (Renewed::Continued, _) => Ok(()),
-            (Renewed::ToBeAdmitted, Some(claims)) => {
+            (RenewalOutcome::Continued, _) => Ok(()),
+            (RenewalOutcome::ToBeAdmitted, Some(claims)) => {
                 permission.admitted(sent_at, &claims);
                 Ok(())
             }
             // Whoever comes anew is told of the leases.
-            (Renewed::ToBeAdmitted, None) => Err(Lost::NotAdmitted),
+            (RenewalOutcome::ToBeAdmitted, None) => Err(Lost::NotAdmitted),
         }
     }
 
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use linkhold_core::service::instance::Instance;
-use linkhold_core::service::permission::{Consents, Permission, RecentClaim, Renewed};
+use linkhold_core::service::permission::{Consents, Permission, RecentClaim, RenewalOutcome};
 use linkhold_events::Event;
 use linkhold_peer::{QuestionSubject, milliseconds};
 
@@ -19,7 +19,7 @@
 
 impl OwnPermission {
     /// The store confirmed a renewal that was sent at a moment.
-    pub fn renewed(&self, sent_at: Instant) -> Renewed {
+    pub fn renewed(&self, sent_at: Instant) -> RenewalOutcome {
         lock(&self.permission).renewed(sent_at, Instant::now())
     }
 
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::configuration::ServiceName;
-use linkhold_core::service::permission::Renewed;
+use linkhold_core::service::permission::RenewalOutcome;
 use linkhold_core::service::primary_verification::PromotionRecord;
 use linkhold_core::service::readers;
 use linkhold_core::service::store_revision::{Era, StoreRevision};
@@ -286,14 +286,14 @@
         return Ok(());
     }
     let renewed = gateway.beliefs.permission.renewed(sent_at);
-    let claims = if renewed == Renewed::ToBeAdmitted || list.covers.has_arrivals() {
+    let claims = if renewed == RenewalOutcome::ToBeAdmitted || list.covers.has_arrivals() {
         let known = failover::recent_claims(gateway).await?;
         adopt_lead_records(gateway, &known.records);
         Some(known)
     } else {
         None
     };
-    if renewed == Renewed::ToBeAdmitted {
+    if renewed == RenewalOutcome::ToBeAdmitted {
         let claims = claims.as_ref().map_or(&[][..], |known| &known.claims);
         gateway.beliefs.permission.admitted(sent_at, claims);
     }
