--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -94,7 +94,7 @@
     /// The node goes on.
     Continued,
     /// The node had no permission: it is to read the leases before it has one.
-    ToBeAdmitted,
+    NeedsAdmission,
 }
 
 /// A node's permission.
@@ -112,7 +112,7 @@
     /// permission has none before [`Permission::admitted`].
     pub fn renewed(&mut self, sent_at: Instant, now: Instant) -> RenewalOutcome {
         if !self.holds(now) {
-            return RenewalOutcome::ToBeAdmitted;
+            return RenewalOutcome::NeedsAdmission;
         }
         self.listing.confirmed(sent_at);
         RenewalOutcome::Continued
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -27,7 +27,7 @@
     let mut permission = Permission::default();
     assert_eq!(
         permission.renewed(start, start),
-        RenewalOutcome::ToBeAdmitted
+        RenewalOutcome::NeedsAdmission
     );
     permission.admitted(start, &[], start);
     permission
@@ -58,7 +58,10 @@
     let start = Instant::now();
     let mut permission = listed(start);
     let back = start + ROW_EXPIRY;
-    assert_eq!(permission.renewed(back, back), RenewalOutcome::ToBeAdmitted);
+    assert_eq!(
+        permission.renewed(back, back),
+        RenewalOutcome::NeedsAdmission
+    );
     assert!(!permission.holds(back));
     let claim = RecentClaim {
         service: SERVICE.into(),
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -241,12 +241,12 @@
         let permission = &self.gateway.beliefs.permission;
         match (permission.renewed(sent_at), claims) {
             (RenewalOutcome::Continued, _) => Ok(()),
-            (RenewalOutcome::ToBeAdmitted, Some(claims)) => {
+            (RenewalOutcome::NeedsAdmission, Some(claims)) => {
                 permission.admitted(sent_at, &claims);
                 Ok(())
             }
             // Whoever comes anew is told of the leases.
-            (RenewalOutcome::ToBeAdmitted, None) => Err(Lost::NotAdmitted),
+            (RenewalOutcome::NeedsAdmission, None) => Err(Lost::NotAdmitted),
         }
     }
 
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -286,14 +286,14 @@
         return Ok(());
     }
     let renewed = gateway.beliefs.permission.renewed(sent_at);
-    let claims = if renewed == RenewalOutcome::ToBeAdmitted || list.covers.has_arrivals() {
+    let claims = if renewed == RenewalOutcome::NeedsAdmission || list.covers.has_arrivals() {
         let known = failover::recent_claims(gateway).await?;
         adopt_lead_records(gateway, &known.records);
         Some(known)
     } else {
         None
     };
-    if renewed == RenewalOutcome::ToBeAdmitted {
+    if renewed == RenewalOutcome::NeedsAdmission {
         let claims = claims.as_ref().map_or(&[][..], |known| &known.claims);
         gateway.beliefs.permission.admitted(sent_at, claims);
     }
