--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -199,11 +199,11 @@
 
 /// What a spender has sent to an instance in the last second.
 #[derive(Clone, Debug, Default)]
-pub struct SecondCount {
+pub struct RequestWindow {
     sent: VecDeque<Instant>,
 }
 
-impl SecondCount {
+impl RequestWindow {
     /// Counts one request if there is room for it among `most`, or tells when there
     /// will be. Some room is kept for urgent ones.
     pub fn spend(&mut self, now: Instant, most: usize, is_urgent: bool) -> Result<(), Duration> {
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::warm_up::{
-    ANSWER_LIFE, QUESTION_INTERVAL, SPENDERS, SecondCount, SenderRank, WarmUpLimit, WarmUpRules,
+    ANSWER_LIFE, QUESTION_INTERVAL, RequestWindow, SPENDERS, SenderRank, WarmUpLimit, WarmUpRules,
     Warmth, may_spend,
 };
 use proptest::prelude::*;
@@ -67,13 +67,13 @@
 /// mechanism that makes up for what it has forgotten.
 fn sends(start: Instant, life: &Life, most: usize, waits_after_start: bool) -> Vec<Instant> {
     let mut sent = Vec::new();
-    let mut count = SecondCount::default();
+    let mut count = RequestWindow::default();
     let mut started = None;
     for tick in (0..10_000).step_by(7) {
         let restarted = life.restarts.iter().filter(|at| **at <= tick).max();
         if restarted.copied() != started {
             started = restarted.copied();
-            count = SecondCount::default();
+            count = RequestWindow::default();
         }
         let is_frozen = |(from, length): &(u64, u64)| (*from..*from + *length).contains(&tick);
         if life.freezes.iter().any(is_frozen) {
@@ -251,7 +251,7 @@
 #[test]
 fn some_room_is_kept_for_what_is_urgent() {
     let now = Instant::now();
-    let mut count = SecondCount::default();
+    let mut count = RequestWindow::default();
     let mut spent = 0;
     let wait = loop {
         match count.spend(now, 9, false) {
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use linkhold_core::service::instance::{Instance, InstanceId};
-use linkhold_core::service::warm_up::{SecondCount, WarmUpRules, Warmth};
+use linkhold_core::service::warm_up::{RequestWindow, WarmUpRules, Warmth};
 use linkhold_events::Event;
 use tokio::sync::Notify;
 
@@ -17,7 +17,7 @@
     /// What proves that it is warm.
     pub warmth: Warmth,
     /// What this node sent it while it was not known warm.
-    pub sent: SecondCount,
+    pub sent: RequestWindow,
     /// Whether it was not known warm when it was looked at last.
     is_held_off: bool,
     /// Asks the one who watches it for a new answer.
