--- a/crates/linkhold-core/src/service/instance.rs
+++ b/crates/linkhold-core/src/service/instance.rs
@@ -8,7 +8,7 @@
 use super::configuration::ServiceName;
 
 /// Stands between an instance's name and the life that an identity is of.
-pub const LIFE_MARK: char = '@';
+pub const INCARNATION_SEPARATOR: char = '@';
 
 /// Identity of one life of an instance; never used again.
 ///
@@ -23,14 +23,14 @@
     /// the only one if the instance tells none.
     pub fn of_life(name: &str, born: Option<u64>) -> Self {
         match born {
-            Some(born) => Self(format!("{name}{LIFE_MARK}{born}").into()),
+            Some(born) => Self(format!("{name}{INCARNATION_SEPARATOR}{born}").into()),
             None => Self(name.into()),
         }
     }
 
     /// The name that all lives of the instance share.
     pub fn name(&self) -> &str {
-        let parts = self.0.split_once(LIFE_MARK);
+        let parts = self.0.split_once(INCARNATION_SEPARATOR);
         parts.map_or(&self.0, |(name, _)| name)
     }
 }
