--- a/crates/linkhold-core/src/service/instance.rs
+++ b/crates/linkhold-core/src/service/instance.rs
@@ -21,7 +21,7 @@
 impl InstanceId {
     /// The life that began at a moment, in Unix milliseconds, of the instance with a name;
     /// the only one if the instance tells none.
-    pub fn of_life(name: &str, born: Option<u64>) -> Self {
+    pub fn of_incarnation(name: &str, born: Option<u64>) -> Self {
         match born {
             Some(born) => Self(format!("{name}{INCARNATION_SEPARATOR}{born}").into()),
             None => Self(name.into()),
--- a/crates/linkhold-core/tests/service_lives.rs
+++ b/crates/linkhold-core/tests/service_lives.rs
@@ -11,7 +11,7 @@
 
 fn life(name: &str, born: u64, role: Role) -> Instance {
     Instance {
-        id: InstanceId::of_life(name, Some(born)),
+        id: InstanceId::of_incarnation(name, Some(born)),
         service: "ledger".into(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "a".into(),
@@ -42,7 +42,7 @@
         .collect();
     assert_eq!(names, ["one", "two"]);
     // It was asked, and holds what was acknowledged after all.
-    let one = InstanceId::of_life("one", Some(9));
+    let one = InstanceId::of_incarnation("one", Some(9));
     directory.confirm_primary(&one, PrimarySource::Asked);
     assert_eq!(primary(&directory).as_deref(), Some("one@9"));
 }
@@ -53,7 +53,7 @@
     let mut directory = Directory::default();
     directory.announce(life("one", 7, Role::Replica), now);
     directory.announce(life("one", 9, Role::Replica), now);
-    let ended = InstanceId::of_life("one", Some(7));
+    let ended = InstanceId::of_incarnation("one", Some(7));
     assert!(directory.instance(&ended).is_none());
     assert_eq!(directory.expire(now, DRAIN), [ended]);
     assert_eq!(directory.expire(now, DRAIN), []);
@@ -66,7 +66,7 @@
     let mut directory = Directory::default();
     directory.announce(life("one", 9, Role::Replica), now);
     directory.announce(life("one", 7, Role::Replica), now);
-    let later = InstanceId::of_life("one", Some(7));
+    let later = InstanceId::of_incarnation("one", Some(7));
     assert!(directory.instance(&later).is_some());
 }
 
@@ -81,7 +81,7 @@
     directory.replace(copy, Recency::MayBeOlder, now);
     assert!(
         directory
-            .instance(&InstanceId::of_life("one", Some(7)))
+            .instance(&InstanceId::of_incarnation("one", Some(7)))
             .is_none()
     );
     assert_ne!(primary(&directory).as_deref(), Some("one@7"));
@@ -116,7 +116,7 @@
     directory.announce(leaving, now);
     let copy = vec![life("one", 7, Role::Replica)];
     directory.replace(copy, Recency::MayBeOlder, now);
-    let one = InstanceId::of_life("one", Some(7));
+    let one = InstanceId::of_incarnation("one", Some(7));
     assert!(directory.is_leaving(&one, now));
 }
 
@@ -132,7 +132,7 @@
     directory.announce(cold, now);
     let copy = vec![life("one", 7, Role::Replica)];
     directory.replace(copy, Recency::MayBeOlder, now);
-    let one = InstanceId::of_life("one", Some(7));
+    let one = InstanceId::of_incarnation("one", Some(7));
     assert!(directory.is_cold(&one, now + Duration::from_millis(2_900)));
     assert!(!directory.is_cold(&one, now + Duration::from_millis(3_000)));
     // The present list tells otherwise.
@@ -227,7 +227,7 @@
             let there = directory.instances("ledger").count();
             prop_assert_eq!(there, present.iter().flatten().count());
             for (name, born) in &former {
-                let id = InstanceId::of_life(["one", "two", "three"][*name], Some(*born));
+                let id = InstanceId::of_incarnation(["one", "two", "three"][*name], Some(*born));
                 prop_assert!(directory.instance(&id).is_none());
             }
         }
