--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -13,7 +13,7 @@
 //!   least the settling time ago, and has seen the instance listed as of later than that
 //!   ([`Warmth::entry_known`]): whoever was listed then had written its entry since, so the
 //!   entry is that of the life to which the connection leads. And that connection
-//!   has answered a question sent after the last doubt and within [`ANSWER_LIFE`].
+//!   has answered a question sent after the last doubt and within [`ANSWER_VALIDITY`].
 //!   The connection on which it sends was opened before that question was sent: a
 //!   restart since then would have broken it as well.
 //! * What one node counts in any second is at most its part of the bound, and the
@@ -30,7 +30,7 @@
 /// How often an owner asks on the connection by which it knows an instance warm.
 pub const QUESTION_INTERVAL: Duration = Duration::from_millis(500);
 /// How long an answer tells that the connection stands: a question may be missed.
-pub const ANSWER_LIFE: Duration = Duration::from_millis(1_300);
+pub const ANSWER_VALIDITY: Duration = Duration::from_millis(1_300);
 /// Intervals of the instances' announcements after which an entry that was not written has
 /// gone: three, and half of one for a store that removes it late.
 const SETTLING_INTERVALS: f64 = 3.5;
@@ -167,7 +167,7 @@
         };
         !says_cold
             && now >= watch.opened_at + rules.settling_time()
-            && now <= as_of + ANSWER_LIFE
+            && now <= as_of + ANSWER_VALIDITY
             && self.doubted_at.is_none_or(|at| as_of > at)
     }
 }
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::warm_up::{
-    ANSWER_LIFE, QUESTION_INTERVAL, RequestWindow, SPENDERS, SenderRank, WarmUpLimit, WarmUpRules,
-    Warmth, may_spend,
+    ANSWER_VALIDITY, QUESTION_INTERVAL, RequestWindow, SPENDERS, SenderRank, WarmUpLimit,
+    WarmUpRules, Warmth, may_spend,
 };
 use proptest::prelude::*;
 
@@ -193,7 +193,7 @@
     warmth.answered(settled - QUESTION_INTERVAL);
     assert!(!warmth.is_warm(&rules, false, settled - milliseconds(1)));
     assert!(warmth.is_warm(&rules, false, settled));
-    assert!(!warmth.is_warm(&rules, false, settled + ANSWER_LIFE));
+    assert!(!warmth.is_warm(&rules, false, settled + ANSWER_VALIDITY));
     assert!(warmth.doubted(settled));
     assert!(!warmth.doubted(settled + milliseconds(1)));
     assert!(!warmth.is_warm(&rules, false, settled + milliseconds(2)));
