--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -9,7 +9,7 @@
 //! * the store confirmed a renewal of its registration that was sent less than
 //!   [`LISTING_LIFE`] ago;
 //! * three quarters of the nodes that it knows, which have a permission themselves,
-//!   confirmed less than [`CONFIRMATION_LIFE`] ago that they have agreed to no
+//!   confirmed less than [`CONFIRMATION_VALIDITY`] ago that they have agreed to no
 //!   replacement of which this node does not know, and this goes on without a gap from
 //!   its last renewal. So a store that is away for all does not stop the fleet at once.
 //!
@@ -25,7 +25,7 @@
 //!   a gap in others' confirmations may be. Whoever confirms has a permission, so it
 //!   still counts for the quarter that has to agree to a replacement; three quarters and
 //!   more than a quarter of the same nodes share one. So whoever relies on
-//!   confirmations and was not asked has stopped [`CONFIRMATION_LIFE`] after enough
+//!   confirmations and was not asked has stopped [`CONFIRMATION_VALIDITY`] after enough
 //!   agreed; a replacement that leaves out silent nodes waits for that.
 //!
 //! Nodes that joined since a node lost the store are not among those that it knows:
@@ -46,10 +46,10 @@
 pub const FORMER_TIME: Duration = Duration::from_secs(30);
 /// How long confirmations permit a node to go on. Renewals of followers,
 /// questions of their reader and its answers follow each other within it.
-pub const CONFIRMATION_LIFE: Duration = Duration::from_millis(3_000);
+pub const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(3_000);
 /// How long a node tells of a replacement that it agreed to: four times as long as a
 /// permission lasts that rests on confirmations, so none can miss it.
-pub const CONSENT_MEMORY: Duration = CONFIRMATION_LIFE.saturating_mul(4);
+pub const CONSENT_MEMORY: Duration = CONFIRMATION_VALIDITY.saturating_mul(4);
 /// How long after its last renewal a node may go on by confirmations alone: others
 /// count it a little longer.
 const LONGEST_UNLISTED: Duration = LISTING_LIFE.saturating_add(FORMER_TIME);
@@ -145,7 +145,7 @@
         if !self.holds(asked_at) {
             return;
         }
-        let until = (asked_at + CONFIRMATION_LIFE).min(renewed_at + LONGEST_UNLISTED);
+        let until = (asked_at + CONFIRMATION_VALIDITY).min(renewed_at + LONGEST_UNLISTED);
         self.confirmed_until = self.confirmed_until.max(Some(until));
     }
 
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -6,8 +6,8 @@
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::listing::LISTING_LIFE;
 use linkhold_core::service::permission::{
-    CLAIM_EFFECT, CONFIRMATION_LIFE, CONSENT_MEMORY, Consents, FORMER_TIME, FleetSizes, Permission,
-    RecentClaim, RenewalOutcome, agreements_needed, confirmations_needed,
+    CLAIM_EFFECT, CONFIRMATION_VALIDITY, CONSENT_MEMORY, Consents, FORMER_TIME, FleetSizes,
+    Permission, RecentClaim, RenewalOutcome, agreements_needed, confirmations_needed,
 };
 use linkhold_core::service::readers::ROW_EXPIRY;
 use proptest::prelude::*;
@@ -108,7 +108,7 @@
     let mut asked_at = start + LISTING_LIFE - milliseconds(1);
     while permission.holds(asked_at) {
         permission.confirmed(asked_at);
-        asked_at += CONFIRMATION_LIFE - milliseconds(1);
+        asked_at += CONFIRMATION_VALIDITY - milliseconds(1);
     }
     let last = start + LISTING_LIFE + FORMER_TIME;
     assert_eq!(permission.until(), Some(last));
@@ -134,7 +134,7 @@
     other.agree("one", 1, start);
     assert!(other.include(&told, start));
     assert!(consents.recent(start + CONSENT_MEMORY).is_empty());
-    assert!(CONFIRMATION_LIFE * 2 < CONSENT_MEMORY);
+    assert!(CONFIRMATION_VALIDITY * 2 < CONSENT_MEMORY);
 }
 
 /// Nodes of a fleet in the property below; the last one replaces the primary.
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -184,7 +184,7 @@
     /// When the last of them had answered.
     pub answered_at: Instant,
     /// Nodes that are no longer listed and gave no answer. Until
-    /// [`CONFIRMATION_LIFE`](linkhold_core::service::permission::CONFIRMATION_LIFE) later they
+    /// [`CONFIRMATION_VALIDITY`](linkhold_core::service::permission::CONFIRMATION_VALIDITY) later they
     /// may go on, by what the others confirmed before they agreed.
     pub silent_former: usize,
 }
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -8,7 +8,7 @@
 use linkhold_core::service::directory::PrimarySource;
 use linkhold_core::service::failover::{self, FailoverLease, InstanceStatus, Successor};
 use linkhold_core::service::instance::{Instance, InstanceId, Role};
-use linkhold_core::service::permission::CONFIRMATION_LIFE;
+use linkhold_core::service::permission::CONFIRMATION_VALIDITY;
 use linkhold_core::service::primary_verification::PrimaryVerdict;
 use linkhold_events::Event;
 use tokio::time::{sleep, sleep_until};
@@ -199,9 +199,9 @@
     Event::info("promotion_delayed")
         .field("service", service)
         .field("silent_former", agreement.silent_former)
-        .field("for_ms", CONFIRMATION_LIFE.as_millis())
+        .field("for_ms", CONFIRMATION_VALIDITY.as_millis())
         .log();
-    sleep_until((agreement.answered_at + CONFIRMATION_LIFE).into()).await;
+    sleep_until((agreement.answered_at + CONFIRMATION_VALIDITY).into()).await;
 }
 
 async fn survey_service<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> Situation {
