--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -21,7 +21,7 @@
 //! * Whoever replaces a primary lists the nodes after it has claimed the service's
 //!   lease. A node that joins, or comes back, reads the leases after it was listed:
 //!   either it is asked, or it sees the claim and waits for [`CLAIM_EFFECT`].
-//! * A node that agreed to a replacement tells so for [`CONSENT_MEMORY`], longer than
+//! * A node that agreed to a replacement tells so for [`CONSENT_RETENTION`], longer than
 //!   a gap in others' confirmations may be. Whoever confirms has a permission, so it
 //!   still counts for the quarter that has to agree to a replacement; three quarters and
 //!   more than a quarter of the same nodes share one. So whoever relies on
@@ -49,7 +49,7 @@
 pub const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(3_000);
 /// How long a node tells of a replacement that it agreed to: four times as long as a
 /// permission lasts that rests on confirmations, so none can miss it.
-pub const CONSENT_MEMORY: Duration = CONFIRMATION_VALIDITY.saturating_mul(4);
+pub const CONSENT_RETENTION: Duration = CONFIRMATION_VALIDITY.saturating_mul(4);
 /// How long after its last renewal a node may go on by confirmations alone: others
 /// count it a little longer.
 const LONGEST_UNLISTED: Duration = LISTING_LIFE.saturating_add(FORMER_TIME);
@@ -226,7 +226,7 @@
     }
 
     fn forget(&mut self, now: Instant) {
-        self.keep(|_, agreed_at| now < agreed_at + CONSENT_MEMORY);
+        self.keep(|_, agreed_at| now < agreed_at + CONSENT_RETENTION);
     }
 
     fn keep(&mut self, is_kept: impl Fn(u64, Instant) -> bool) {
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -6,7 +6,7 @@
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::listing::LISTING_LIFE;
 use linkhold_core::service::permission::{
-    CLAIM_EFFECT, CONFIRMATION_VALIDITY, CONSENT_MEMORY, Consents, FORMER_TIME, FleetSizes,
+    CLAIM_EFFECT, CONFIRMATION_VALIDITY, CONSENT_RETENTION, Consents, FORMER_TIME, FleetSizes,
     Permission, RecentClaim, RenewalOutcome, agreements_needed, confirmations_needed,
 };
 use linkhold_core::service::readers::ROW_EXPIRY;
@@ -127,14 +127,14 @@
     let mut consents = Consents::default();
     assert!(consents.recent(start).is_empty());
     consents.agree("one", 1, start);
-    let told = consents.recent(start + CONSENT_MEMORY - milliseconds(1));
+    let told = consents.recent(start + CONSENT_RETENTION - milliseconds(1));
     assert_eq!(told, ["one"]);
     let mut other = Consents::default();
     assert!(!other.include(&told, start));
     other.agree("one", 1, start);
     assert!(other.include(&told, start));
-    assert!(consents.recent(start + CONSENT_MEMORY).is_empty());
-    assert!(CONFIRMATION_VALIDITY * 2 < CONSENT_MEMORY);
+    assert!(consents.recent(start + CONSENT_RETENTION).is_empty());
+    assert!(CONFIRMATION_VALIDITY * 2 < CONSENT_RETENTION);
 }
 
 /// Nodes of a fleet in the property below; the last one replaces the primary.
