--- a/crates/linkhold-core/src/service/listing.rs
+++ b/crates/linkhold-core/src/service/listing.rs
@@ -15,7 +15,7 @@
 /// time between a look at the clock and what follows from it.
 pub const LISTING_MARGIN: Duration = Duration::from_millis(1_000);
 /// How long a node counts on a renewal after it was sent.
-pub const LISTING_LIFE: Duration = ROW_EXPIRY.saturating_sub(LISTING_MARGIN);
+pub const LISTING_VALIDITY: Duration = ROW_EXPIRY.saturating_sub(LISTING_MARGIN);
 
 /// What a node knows of its own listing.
 #[derive(Clone, Copy, Debug, Default)]
@@ -37,7 +37,7 @@
 
     /// Until when the node certainly counts; `None` if it was never listed.
     pub fn until(&self) -> Option<Instant> {
-        self.renewed_at.map(|at| at + LISTING_LIFE)
+        self.renewed_at.map(|at| at + LISTING_VALIDITY)
     }
 
     /// Whether the node certainly counts at a moment.
--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -7,7 +7,7 @@
 //! out. It goes on as long as one of these holds:
 //!
 //! * the store confirmed a renewal of its registration that was sent less than
-//!   [`LISTING_LIFE`] ago;
+//!   [`LISTING_VALIDITY`] ago;
 //! * three quarters of the nodes that it knows, which have a permission themselves,
 //!   confirmed less than [`CONFIRMATION_VALIDITY`] ago that they have agreed to no
 //!   replacement of which this node does not know, and this goes on without a gap from
@@ -38,7 +38,7 @@
 use super::configuration::ServiceName;
 use super::failover::{LEASE, ORDER_TIMEOUT};
 use super::instance::InstanceId;
-use super::listing::{LISTING_LIFE, LISTING_MARGIN, Listing};
+use super::listing::{LISTING_MARGIN, LISTING_VALIDITY, Listing};
 use super::readers::ROW_EXPIRY;
 
 /// For how long after its row has expired a node is still asked before a primary is
@@ -52,7 +52,7 @@
 pub const CONSENT_RETENTION: Duration = CONFIRMATION_VALIDITY.saturating_mul(4);
 /// How long after its last renewal a node may go on by confirmations alone: others
 /// count it a little longer.
-const LONGEST_UNLISTED: Duration = LISTING_LIFE.saturating_add(FORMER_TIME);
+const LONGEST_UNLISTED: Duration = LISTING_VALIDITY.saturating_add(FORMER_TIME);
 /// Age of a renewal from which a node has others confirm that it may go on.
 pub const CONFIRM_FROM: Duration = Duration::from_millis(8_000);
 /// How long after a lease was claimed a promotion under it may take effect: the
--- a/crates/linkhold-core/tests/service_listing.rs
+++ b/crates/linkhold-core/tests/service_listing.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::listing::{LISTING_LIFE, Listing, SentRenewals};
+use linkhold_core::service::listing::{LISTING_VALIDITY, Listing, SentRenewals};
 use linkhold_core::service::readers::{FOLLOWER_RENEWAL, RENEWAL, ROW_EXPIRY};
 
 #[test]
@@ -11,8 +11,8 @@
     let mut listing = Listing::default();
     assert!(!listing.holds(sent_at));
     listing.confirmed(sent_at);
-    assert!(listing.holds(sent_at + LISTING_LIFE - Duration::from_millis(1)));
-    assert!(!listing.holds(sent_at + LISTING_LIFE));
+    assert!(listing.holds(sent_at + LISTING_VALIDITY - Duration::from_millis(1)));
+    assert!(!listing.holds(sent_at + LISTING_VALIDITY));
     // An answer that comes late does not take back what is known.
     listing.confirmed(sent_at - Duration::from_secs(1));
     assert_eq!(listing.renewed_at(), Some(sent_at));
@@ -22,9 +22,9 @@
 /// it does.
 #[test]
 fn a_listing_ends_before_its_row_and_outlives_two_renewals() {
-    assert!(LISTING_LIFE < ROW_EXPIRY);
-    assert!(RENEWAL * 2 < LISTING_LIFE);
-    assert!(FOLLOWER_RENEWAL * 3 < LISTING_LIFE);
+    assert!(LISTING_VALIDITY < ROW_EXPIRY);
+    assert!(RENEWAL * 2 < LISTING_VALIDITY);
+    assert!(FOLLOWER_RENEWAL * 3 < LISTING_VALIDITY);
 }
 
 #[test]
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -4,7 +4,7 @@
 
 use linkhold_core::service::failover::LEASE;
 use linkhold_core::service::instance::InstanceId;
-use linkhold_core::service::listing::LISTING_LIFE;
+use linkhold_core::service::listing::LISTING_VALIDITY;
 use linkhold_core::service::permission::{
     CLAIM_EFFECT, CONFIRMATION_VALIDITY, CONSENT_RETENTION, Consents, FORMER_TIME, FleetSizes,
     Permission, RecentClaim, RenewalOutcome, agreements_needed, confirmations_needed,
@@ -41,16 +41,16 @@
     assert!(permission.covers(
         SERVICE,
         &one(),
-        start + LISTING_LIFE - milliseconds(1),
-        Some(start + LISTING_LIFE - milliseconds(1))
+        start + LISTING_VALIDITY - milliseconds(1),
+        Some(start + LISTING_VALIDITY - milliseconds(1))
     ));
     assert!(!permission.covers(
         SERVICE,
         &one(),
-        start + LISTING_LIFE,
-        Some(start + LISTING_LIFE)
+        start + LISTING_VALIDITY,
+        Some(start + LISTING_VALIDITY)
     ));
-    assert!(LISTING_LIFE < ROW_EXPIRY);
+    assert!(LISTING_VALIDITY < ROW_EXPIRY);
 }
 
 #[test]
@@ -105,20 +105,20 @@
 fn confirmations_prolong_a_permission_without_a_gap_and_not_for_ever() {
     let start = Instant::now();
     let mut permission = listed(start);
-    let mut asked_at = start + LISTING_LIFE - milliseconds(1);
+    let mut asked_at = start + LISTING_VALIDITY - milliseconds(1);
     while permission.holds(asked_at) {
         permission.confirmed(asked_at);
         asked_at += CONFIRMATION_VALIDITY - milliseconds(1);
     }
-    let last = start + LISTING_LIFE + FORMER_TIME;
+    let last = start + LISTING_VALIDITY + FORMER_TIME;
     assert_eq!(permission.until(), Some(last));
     assert!(last < start + ROW_EXPIRY + FORMER_TIME);
     // What has run out does not come back.
     permission.confirmed(last);
     assert!(!permission.holds(last));
     let mut gap = listed(start);
-    gap.confirmed(start + LISTING_LIFE);
-    assert!(!gap.holds(start + LISTING_LIFE));
+    gap.confirmed(start + LISTING_VALIDITY);
+    assert!(!gap.holds(start + LISTING_VALIDITY));
 }
 
 #[test]
