--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -2,7 +2,7 @@
 //! what they answer for proof of how far their logs have come.
 //!
 //! Whoever replaces a primary has every node agree that the store lists, and over a
-//! quarter of those that it listed until [`FORMER_TIME`] ago. A node that is not
+//! quarter of those that it listed until [`EXPIRED_NODE_PERIOD`] ago. A node that is not
 //! listed may not be asked, so it has to stop by itself, before others may leave it
 //! out. It goes on as long as one of these holds:
 //!
@@ -30,7 +30,7 @@
 //!
 //! Nodes that joined since a node lost the store are not among those that it knows:
 //! the last invariant takes fewer than a quarter of the nodes to join within
-//! [`FORMER_TIME`].
+//! [`EXPIRED_NODE_PERIOD`].
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
 
 /// For how long after its row has expired a node is still asked before a primary is
 /// replaced, and counts for the part that has to agree.
-pub const FORMER_TIME: Duration = Duration::from_secs(30);
+pub const EXPIRED_NODE_PERIOD: Duration = Duration::from_secs(30);
 /// How long confirmations permit a node to go on. Renewals of followers,
 /// questions of their reader and its answers follow each other within it.
 pub const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(3_000);
@@ -52,7 +52,7 @@
 pub const CONSENT_RETENTION: Duration = CONFIRMATION_VALIDITY.saturating_mul(4);
 /// How long after its last renewal a node may go on by confirmations alone: others
 /// count it a little longer.
-const LONGEST_UNLISTED: Duration = LISTING_VALIDITY.saturating_add(FORMER_TIME);
+const LONGEST_UNLISTED: Duration = LISTING_VALIDITY.saturating_add(EXPIRED_NODE_PERIOD);
 /// Age of a renewal from which a node has others confirm that it may go on.
 pub const CONFIRM_FROM: Duration = Duration::from_millis(8_000);
 /// How long after a lease was claimed a promotion under it may take effect: the
@@ -264,7 +264,8 @@
     pub fn seen(&mut self, size: usize, now: Instant) {
         self.sizes
             .retain(|(known, until)| now < *until && *known > size);
-        self.sizes.push((size, now + ROW_EXPIRY + FORMER_TIME));
+        self.sizes
+            .push((size, now + ROW_EXPIRY + EXPIRED_NODE_PERIOD));
     }
 
     /// The most that it saw as long as they may count.
@@ -283,5 +284,5 @@
 // A node that goes on by confirmations alone stops while others still count it.
 const _: () = assert!(
     LONGEST_UNLISTED.as_millis() + LISTING_MARGIN.as_millis()
-        <= ROW_EXPIRY.as_millis() + FORMER_TIME.as_millis()
+        <= ROW_EXPIRY.as_millis() + EXPIRED_NODE_PERIOD.as_millis()
 );
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -6,8 +6,8 @@
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::listing::LISTING_VALIDITY;
 use linkhold_core::service::permission::{
-    CLAIM_EFFECT, CONFIRMATION_VALIDITY, CONSENT_RETENTION, Consents, FORMER_TIME, FleetSizes,
-    Permission, RecentClaim, RenewalOutcome, agreements_needed, confirmations_needed,
+    CLAIM_EFFECT, CONFIRMATION_VALIDITY, CONSENT_RETENTION, Consents, EXPIRED_NODE_PERIOD,
+    FleetSizes, Permission, RecentClaim, RenewalOutcome, agreements_needed, confirmations_needed,
 };
 use linkhold_core::service::readers::ROW_EXPIRY;
 use proptest::prelude::*;
@@ -110,9 +110,9 @@
         permission.confirmed(asked_at);
         asked_at += CONFIRMATION_VALIDITY - milliseconds(1);
     }
-    let last = start + LISTING_VALIDITY + FORMER_TIME;
+    let last = start + LISTING_VALIDITY + EXPIRED_NODE_PERIOD;
     assert_eq!(permission.until(), Some(last));
-    assert!(last < start + ROW_EXPIRY + FORMER_TIME);
+    assert!(last < start + ROW_EXPIRY + EXPIRED_NODE_PERIOD);
     // What has run out does not come back.
     permission.confirmed(last);
     assert!(!permission.holds(last));
@@ -214,7 +214,7 @@
         let all_silent_left = far.iter().all(|node| age(node) >= ROW_EXPIRY);
         let counted = far
             .iter()
-            .filter(|node| age(node) < ROW_EXPIRY + FORMER_TIME)
+            .filter(|node| age(node) < ROW_EXPIRY + EXPIRED_NODE_PERIOD)
             .count();
         let have_agreed =
             near >= agreements_needed(near + counted) || without == Without::Agreements;
@@ -323,6 +323,6 @@
     let can_agree = returned >= agreements_needed(fleet);
     assert!(can_agree && !can_confirm);
     // Nobody counts the others any more.
-    let forgotten = start + ROW_EXPIRY + FORMER_TIME;
+    let forgotten = start + ROW_EXPIRY + EXPIRED_NODE_PERIOD;
     assert_eq!(sizes.largest(forgotten), fleet - returned);
 }
--- a/crates/linkhold-gateway/src/registry.rs
+++ b/crates/linkhold-gateway/src/registry.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::permission::FORMER_TIME;
+use linkhold_core::service::permission::EXPIRED_NODE_PERIOD;
 use linkhold_core::service::readers::{READER_EXPIRY, ROW_EXPIRY, SETTLING_TIME};
 use linkhold_core::service::store_revision::{Era, StoreRevision};
 use linkhold_events::Event;
@@ -75,7 +75,7 @@
 
     /// Whether it is asked before a primary is replaced: it counts, or did lately.
     pub fn is_asked(&self) -> bool {
-        self.age < ROW_EXPIRY + FORMER_TIME
+        self.age < ROW_EXPIRY + EXPIRED_NODE_PERIOD
     }
 }
 
@@ -177,7 +177,7 @@
             address: None,
             ..own
         },
-        age: ROW_EXPIRY + FORMER_TIME,
+        age: ROW_EXPIRY + EXPIRED_NODE_PERIOD,
     };
     encode(NodeRow::new(&gone, now), followers, now)
 }
