--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -54,7 +54,7 @@
 /// count it a little longer.
 const LONGEST_UNLISTED: Duration = LISTING_VALIDITY.saturating_add(EXPIRED_NODE_PERIOD);
 /// Age of a renewal from which a node has others confirm that it may go on.
-pub const CONFIRM_FROM: Duration = Duration::from_millis(8_000);
+pub const CONFIRMATION_START_AGE: Duration = Duration::from_millis(8_000);
 /// How long after a lease was claimed a promotion under it may take effect: the
 /// lease, within which an order leaves, the time in which it is on its way, and a second
 /// that the platform takes, with half a second to spare.
@@ -179,7 +179,7 @@
 
     /// Whether the node is to have others confirm that it may go on.
     pub fn needs_confirmation(&self, now: Instant) -> bool {
-        let is_old = |renewed_at: Instant| now >= renewed_at + CONFIRM_FROM;
+        let is_old = |renewed_at: Instant| now >= renewed_at + CONFIRMATION_START_AGE;
         self.holds(now) && self.listing.renewed_at().is_some_and(is_old)
     }
 
