--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -20,7 +20,7 @@
 //!   younger one.
 //! * Whoever replaces a primary lists the nodes after it has claimed the service's
 //!   lease. A node that joins, or comes back, reads the leases after it was listed:
-//!   either it is asked, or it sees the claim and waits for [`CLAIM_EFFECT`].
+//!   either it is asked, or it sees the claim and waits for [`CLAIM_EFFECT_PERIOD`].
 //! * A node that agreed to a replacement tells so for [`CONSENT_RETENTION`], longer than
 //!   a gap in others' confirmations may be. Whoever confirms has a permission, so it
 //!   still counts for the quarter that has to agree to a replacement; three quarters and
@@ -58,7 +58,7 @@
 /// How long after a lease was claimed a promotion under it may take effect: the
 /// lease, within which an order leaves, the time in which it is on its way, and a second
 /// that the platform takes, with half a second to spare.
-pub const CLAIM_EFFECT: Duration = LEASE
+pub const CLAIM_EFFECT_PERIOD: Duration = LEASE
     .saturating_add(ORDER_TIMEOUT)
     .saturating_add(Duration::from_millis(1_500));
 
@@ -76,7 +76,7 @@
 impl RecentClaim {
     /// Whether a promotion under it may still take effect.
     pub fn may_take_effect(&self) -> bool {
-        self.successor.is_some() && self.age < CLAIM_EFFECT
+        self.successor.is_some() && self.age < CLAIM_EFFECT_PERIOD
     }
 }
 
@@ -129,7 +129,7 @@
             let Some(successor) = claim.successor.clone() else {
                 continue;
             };
-            let until = now + (CLAIM_EFFECT - claim.age);
+            let until = now + (CLAIM_EFFECT_PERIOD - claim.age);
             self.bars
                 .insert(claim.service.clone(), Bar { until, successor });
         }
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -6,7 +6,7 @@
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::listing::LISTING_VALIDITY;
 use linkhold_core::service::permission::{
-    CLAIM_EFFECT, CONFIRMATION_VALIDITY, CONSENT_RETENTION, Consents, EXPIRED_NODE_PERIOD,
+    CLAIM_EFFECT_PERIOD, CONFIRMATION_VALIDITY, CONSENT_RETENTION, Consents, EXPIRED_NODE_PERIOD,
     FleetSizes, Permission, RecentClaim, RenewalOutcome, agreements_needed, confirmations_needed,
 };
 use linkhold_core::service::readers::ROW_EXPIRY;
@@ -74,7 +74,7 @@
     assert!(!permission.covers(SERVICE, &one(), back, Some(back)));
     // The successor leads: the replacement is over.
     assert!(permission.covers(SERVICE, &two, back, Some(back)));
-    let over = back + CLAIM_EFFECT - milliseconds(1_000);
+    let over = back + CLAIM_EFFECT_PERIOD - milliseconds(1_000);
     assert!(!permission.covers(
         SERVICE,
         &one(),
@@ -88,7 +88,7 @@
 fn a_lease_that_is_old_or_only_held_ready_bars_nothing() {
     let start = Instant::now();
     let two = Some(InstanceId("two".into()));
-    for (successor, age) in [(two, CLAIM_EFFECT), (None, Duration::ZERO)] {
+    for (successor, age) in [(two, CLAIM_EFFECT_PERIOD), (None, Duration::ZERO)] {
         let mut permission = Permission::default();
         let claim = RecentClaim {
             service: SERVICE.into(),
@@ -98,7 +98,7 @@
         permission.admitted(start, &[claim], start);
         assert!(permission.covers(SERVICE, &one(), start, Some(start)));
     }
-    assert!(LEASE < CLAIM_EFFECT);
+    assert!(LEASE < CLAIM_EFFECT_PERIOD);
 }
 
 #[test]
