--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -16,7 +16,7 @@
 //! * An order leaves only while its lease lasts for [`ORDER_TIMEOUT`] more, by its
 //!   node's steady clock, counted from before the lease was claimed.
 //! * Where the authority checks no tokens, the row tells that an order is about to
-//!   leave. For [`ORDER_MEMORY`] no other token is handed out then: the order may be
+//!   leave. For [`MAX_ORDER_DELAY`] no other token is handed out then: the order may be
 //!   carried out late, behind newer ones.
 
 use std::time::Duration;
@@ -34,7 +34,7 @@
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// For how long an order without an answer may still be carried out: seconds, say the
 /// users; a node that gave one up and claimed anew was overtaken by it after 1.9 s.
-pub const ORDER_MEMORY: Duration = Duration::from_millis(10_000);
+pub const MAX_ORDER_DELAY: Duration = Duration::from_millis(10_000);
 
 /// The failover lease of one service, as kept in the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -104,7 +104,7 @@
         });
     }
     let left = match current.ordered_at {
-        Some(ordered_at) => left_of(ORDER_MEMORY, ordered_at, now),
+        Some(ordered_at) => left_of(MAX_ORDER_DELAY, ordered_at, now),
         None if current.holder == node => None,
         None => left_of(LEASE, current.claimed_at, now),
     };
@@ -146,7 +146,7 @@
         Some(current) => {
             let is_held = left_of(LEASE, current.claimed_at, now).is_some();
             let ordered_at = current.ordered_at;
-            let is_open = ordered_at.and_then(|at| left_of(ORDER_MEMORY, at, now));
+            let is_open = ordered_at.and_then(|at| left_of(MAX_ORDER_DELAY, at, now));
             let is_of_era = era_of_token(current.token) == era;
             if is_held || is_open.is_some() || is_of_era && is_in_fleet(&current.holder) {
                 return None;
@@ -185,7 +185,7 @@
 
     /// Whether an order under it may still be carried out at a moment of the store's clock.
     pub fn may_take_effect(&self, now: u64) -> bool {
-        left_of(LEASE + ORDER_MEMORY, self.claimed_at, now).is_some()
+        left_of(LEASE + MAX_ORDER_DELAY, self.claimed_at, now).is_some()
     }
 
     /// Whether its token may be used for this successor.
--- a/crates/linkhold-core/src/service/withholding.rs
+++ b/crates/linkhold-core/src/service/withholding.rs
@@ -18,7 +18,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use super::failover::ORDER_MEMORY;
+use super::failover::MAX_ORDER_DELAY;
 use super::instance::InstanceId;
 
 /// How long a node acknowledges nothing of an instance after it agreed, at the least:
@@ -26,7 +26,7 @@
 /// and a second that the platform takes to promote. Whoever asked ends it before, as soon
 /// as it knows that nothing of its order comes any more.
 pub const WITHHOLDING: Duration = ORDER_WINDOW
-    .saturating_add(ORDER_MEMORY)
+    .saturating_add(MAX_ORDER_DELAY)
     .saturating_add(Duration::from_millis(1_000));
 /// How soon after it asked the others a node must have ordered the promotion.
 pub const ORDER_WINDOW: Duration = Duration::from_millis(1_500);
