--- a/crates/linkhold-core/src/service/withholding.rs
+++ b/crates/linkhold-core/src/service/withholding.rs
@@ -9,7 +9,7 @@
 //! # Invariant
 //!
 //! An order goes out less than [`ORDER_WINDOW`] after the question that all
-//! nodes agreed to was sent. That is shorter than [`WITHHOLDING`] by more than
+//! nodes agreed to was sent. That is shorter than [`WITHHOLDING_PERIOD`] by more than
 //! an order takes, and each node counts from when it answered, which is later.
 //! After that time, a node that has heard of no successor goes on only once it
 //! knows the list of instances as of a moment at which one would have been in it.
@@ -25,7 +25,7 @@
 /// [`ORDER_WINDOW`], the time in which an order without an answer may be carried out,
 /// and a second that the platform takes to promote. Whoever asked ends it before, as soon
 /// as it knows that nothing of its order comes any more.
-pub const WITHHOLDING: Duration = ORDER_WINDOW
+pub const WITHHOLDING_PERIOD: Duration = ORDER_WINDOW
     .saturating_add(MAX_ORDER_DELAY)
     .saturating_add(Duration::from_millis(1_000));
 /// How soon after it asked the others a node must have ordered the promotion.
@@ -98,7 +98,7 @@
         let Some(agreed_at) = self.agreed_at.get(id).and_then(|it| it.values().max()) else {
             return false;
         };
-        let over = *agreed_at + WITHHOLDING;
+        let over = *agreed_at + WITHHOLDING_PERIOD;
         let would_know = directory_as_of.is_some_and(|as_of| as_of >= over + ANNOUNCEMENT);
         now < over || !would_know
     }
--- a/crates/linkhold-core/tests/service_withholding.rs
+++ b/crates/linkhold-core/tests/service_withholding.rs
@@ -4,11 +4,11 @@
 
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::withholding::{
-    ORDER_WINDOW, RECENT_FAILURE, WITHHOLDING, Withholdings,
+    ORDER_WINDOW, RECENT_FAILURE, WITHHOLDING_PERIOD, Withholdings,
 };
 
 /// When the list of instances is known again, so late that a successor would be in it.
-const KNOWN_LATER: Duration = WITHHOLDING.saturating_mul(2);
+const KNOWN_LATER: Duration = WITHHOLDING_PERIOD.saturating_mul(2);
 
 #[test]
 fn an_agreement_holds_for_its_time_and_its_instance() {
@@ -20,10 +20,10 @@
     };
     assert!(!holds(&withholdings, &one, now));
     withholdings.agree(&one, 1, now);
-    let last = now + WITHHOLDING - Duration::from_millis(1);
+    let last = now + WITHHOLDING_PERIOD - Duration::from_millis(1);
     assert!(holds(&withholdings, &one, last));
     assert!(!holds(&withholdings, &two, last));
-    assert!(!holds(&withholdings, &one, now + WITHHOLDING));
+    assert!(!holds(&withholdings, &one, now + WITHHOLDING_PERIOD));
 }
 
 #[test]
@@ -32,11 +32,11 @@
     let one = InstanceId("one".into());
     let mut withholdings = Withholdings::default();
     withholdings.agree(&one, 1, now);
-    let later = now + WITHHOLDING / 2;
+    let later = now + WITHHOLDING_PERIOD / 2;
     withholdings.agree(&one, 2, later);
     let known = Some(now + KNOWN_LATER);
-    assert!(withholdings.holds(&one, now + WITHHOLDING, known));
-    assert!(!withholdings.holds(&one, later + WITHHOLDING, known));
+    assert!(withholdings.holds(&one, now + WITHHOLDING_PERIOD, known));
+    assert!(!withholdings.holds(&one, later + WITHHOLDING_PERIOD, known));
 }
 
 /// Time alone tells nothing of whether the promotion took effect.
@@ -46,9 +46,9 @@
     let one = InstanceId("one".into());
     let mut withholdings = Withholdings::default();
     withholdings.agree(&one, 1, now);
-    let later = now + WITHHOLDING * 10;
+    let later = now + WITHHOLDING_PERIOD * 10;
     assert!(withholdings.holds(&one, later, None));
-    assert!(withholdings.holds(&one, later, Some(now + WITHHOLDING)));
+    assert!(withholdings.holds(&one, later, Some(now + WITHHOLDING_PERIOD)));
     assert!(!withholdings.holds(&one, later, Some(now + KNOWN_LATER)));
 }
 
@@ -57,8 +57,8 @@
 #[test]
 fn an_order_has_time_to_take_effect_before_the_first_agreement_ends() {
     let longest_promotion = Duration::from_millis(1_500);
-    assert!(ORDER_WINDOW + longest_promotion <= WITHHOLDING);
-    assert!(RECENT_FAILURE < WITHHOLDING);
+    assert!(ORDER_WINDOW + longest_promotion <= WITHHOLDING_PERIOD);
+    assert!(RECENT_FAILURE < WITHHOLDING_PERIOD);
 }
 
 /// Whoever asked ends what it asked for, and nothing that others did.
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -8,7 +8,7 @@
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::directory::PrimarySource;
 use linkhold_core::service::instance::{Instance, InstanceId, Role};
-use linkhold_core::service::withholding::WITHHOLDING;
+use linkhold_core::service::withholding::WITHHOLDING_PERIOD;
 use linkhold_events::Event;
 
 use super::{Beliefs, InstanceBeliefs, lock};
@@ -97,7 +97,7 @@
         lock(&self.instances).withholdings.agree(id, question, now);
         Event::info("instance_withheld")
             .field("instance", id)
-            .field("at_least_ms", WITHHOLDING.as_millis())
+            .field("at_least_ms", WITHHOLDING_PERIOD.as_millis())
             .log();
         self.announce_change();
     }
