--- a/crates/linkhold-core/src/service/withholding.rs
+++ b/crates/linkhold-core/src/service/withholding.rs
@@ -32,7 +32,7 @@
 pub const ORDER_WINDOW: Duration = Duration::from_millis(1_500);
 /// How long a failed try to reach an instance is as good as a new one for a
 /// node that agrees to withhold.
-pub const RECENT_FAILURE: Duration = Duration::from_millis(1_500);
+pub const FAILURE_REUSE_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// How long after it leads a successor's entry says so, at the most: it is written at
 /// once, and a write takes no longer.
--- a/crates/linkhold-core/tests/service_withholding.rs
+++ b/crates/linkhold-core/tests/service_withholding.rs
@@ -4,7 +4,7 @@
 
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::withholding::{
-    ORDER_WINDOW, RECENT_FAILURE, WITHHOLDING_PERIOD, Withholdings,
+    FAILURE_REUSE_PERIOD, ORDER_WINDOW, WITHHOLDING_PERIOD, Withholdings,
 };
 
 /// When the list of instances is known again, so late that a successor would be in it.
@@ -58,7 +58,7 @@
 fn an_order_has_time_to_take_effect_before_the_first_agreement_ends() {
     let longest_promotion = Duration::from_millis(1_500);
     assert!(ORDER_WINDOW + longest_promotion <= WITHHOLDING_PERIOD);
-    assert!(RECENT_FAILURE < WITHHOLDING_PERIOD);
+    assert!(FAILURE_REUSE_PERIOD < WITHHOLDING_PERIOD);
 }
 
 /// Whoever asked ends what it asked for, and nothing that others did.
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::instance::{Instance, InstanceId};
-use linkhold_core::service::withholding::RECENT_FAILURE;
+use linkhold_core::service::withholding::FAILURE_REUSE_PERIOD;
 use linkhold_core::tenancy::budget::Grant;
 use linkhold_events::Event;
 use linkhold_peer::{
@@ -339,6 +339,6 @@
 fn has_failed_lately<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
     let failed_at = gateway.peers.failed_at(&instance.id);
     failed_at.is_some_and(|failed_at| {
-        failed_at.elapsed() < RECENT_FAILURE && !gateway.answered_since(instance, failed_at)
+        failed_at.elapsed() < FAILURE_REUSE_PERIOD && !gateway.answered_since(instance, failed_at)
     })
 }
