--- a/crates/linkhold-core/src/service/evacuation.rs
+++ b/crates/linkhold-core/src/service/evacuation.rs
@@ -6,7 +6,7 @@
 //!   nothing ([`Evacuations::replace`], [`Evacuations::apply`]). A store that comes back
 //!   from an older copy may have lost an evacuation that it acknowledged: what is
 //!   evacuated stays so until that copy's own changes take it back, or for
-//!   [`REWRITING_TIME`] if they never tell of it.
+//!   [`LOST_EVACUATION_PERIOD`] if they never tell of it.
 //! * An evacuation was acknowledged after the last moment as of which this node
 //!   knew that there was none. Open work ends within [`OPEN_WORK_PERCENT`] of the
 //!   bound from that moment, however late the node learnt.
@@ -26,7 +26,7 @@
 
 /// How long an evacuation that the store has lost stays in force: operators have two
 /// minutes to ask for it again.
-pub const REWRITING_TIME: Duration = Duration::from_secs(120);
+pub const LOST_EVACUATION_PERIOD: Duration = Duration::from_secs(120);
 
 /// A zone that is evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -123,7 +123,7 @@
     fn keep_lost(&mut self, listed: &[ZoneName], now: Instant) {
         let lost = self.zones.keys().filter(|zone| !listed.contains(zone));
         for zone in lost {
-            self.lost.insert(zone.clone(), now + REWRITING_TIME);
+            self.lost.insert(zone.clone(), now + LOST_EVACUATION_PERIOD);
         }
     }
 
--- a/crates/linkhold-core/tests/service_eras.rs
+++ b/crates/linkhold-core/tests/service_eras.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::evacuation::{
-    EvacuationChange, Evacuations, REWRITING_TIME, ZoneName, ZoneState,
+    EvacuationChange, Evacuations, LOST_EVACUATION_PERIOD, ZoneName, ZoneState,
 };
 use linkhold_core::service::failover::{
     ClaimDecision, ClaimTime, FailoverLease, LEASE, claim, era_of_token, hold_ready,
@@ -124,7 +124,11 @@
         BOUND,
         closed,
     );
-    assert!(evacuations.expire_lost(closed + REWRITING_TIME).is_empty());
+    assert!(
+        evacuations
+            .expire_lost(closed + LOST_EVACUATION_PERIOD)
+            .is_empty()
+    );
     evacuations.apply(
         place(2, 47),
         [EvacuationChange::TakenBack("a".into())],
@@ -142,13 +146,13 @@
     evacuations.replace(place(2, 40), zones(&[]), BOUND, start);
     assert!(
         evacuations
-            .expire_lost(start + REWRITING_TIME / 2)
+            .expire_lost(start + LOST_EVACUATION_PERIOD / 2)
             .is_empty()
     );
-    let over = evacuations.expire_lost(start + REWRITING_TIME);
+    let over = evacuations.expire_lost(start + LOST_EVACUATION_PERIOD);
     assert_eq!(over, [EvacuationChange::TakenBack("a".into())]);
     assert_eq!(
-        evacuations.state("a", start + REWRITING_TIME),
+        evacuations.state("a", start + LOST_EVACUATION_PERIOD),
         ZoneState::InService
     );
 }
