--- a/crates/linkhold-core/src/service/watchers.rs
+++ b/crates/linkhold-core/src/service/watchers.rs
@@ -14,7 +14,7 @@
 
 /// Largest fleet in which every node watches every service: few enough to connect at once
 /// to an instance that takes as many connections as the smallest on offer.
-pub const ALL_WATCH: usize = 24;
+pub const MAX_FLEET_ALL_WATCH: usize = 24;
 /// Watchers in each zone: one that is lost or frozen leaves another.
 const IN_EACH_ZONE: usize = 2;
 /// Watchers in all, at the least, where zones are few.
--- a/crates/linkhold-gateway/src/watchers.rs
+++ b/crates/linkhold-gateway/src/watchers.rs
@@ -6,7 +6,7 @@
 
 use linkhold_core::membership::NodeId;
 use linkhold_core::service::configuration::ServiceName;
-use linkhold_core::service::watchers::{self, ALL_WATCH};
+use linkhold_core::service::watchers::{self, MAX_FLEET_ALL_WATCH};
 use linkhold_peer::FeedNode;
 
 use crate::beliefs::lock;
@@ -56,7 +56,7 @@
     /// The watchers of a service; `None` where every node watches.
     pub fn of(&self, own_name: &str, service: &ServiceName) -> Option<Arc<ServiceWatchers>> {
         let mut state = lock(&self.0);
-        if state.nodes.len() <= ALL_WATCH {
+        if state.nodes.len() <= MAX_FLEET_ALL_WATCH {
             return None;
         }
         if let Some(known) = state.by_service.get(service) {
