--- a/crates/linkhold-core/src/service/owners.rs
+++ b/crates/linkhold-core/src/service/owners.rs
@@ -23,7 +23,7 @@
 use super::instance::InstanceId;
 
 /// Owners of an instance, if so many nodes are near it.
-pub const OWNERS: usize = 4;
+pub const OWNERS_PER_INSTANCE: usize = 4;
 /// Part of the limit that owners share, in percent. The rest is for questions
 /// to instances and for nodes that find no owner.
 const OWNED_PERCENT: usize = 85;
@@ -32,7 +32,7 @@
 
 /// The owners of an instance among the nodes near it: the same in all its lives.
 pub fn choose(instance: &InstanceId, nearby: impl Iterator<Item = NodeId>) -> Vec<NodeId> {
-    rendezvous::owners(instance.name(), nearby, OWNERS)
+    rendezvous::owners(instance.name(), nearby, OWNERS_PER_INSTANCE)
 }
 
 /// The order in which a node asks the owners of an instance: spread over the
--- a/crates/linkhold-core/tests/service_owners.rs
+++ b/crates/linkhold-core/tests/service_owners.rs
@@ -21,12 +21,12 @@
     let all = nodes(24);
     for instance in ["one", "two", "three"] {
         let before = chosen(&all, instance);
-        assert_eq!(before.len(), owners::OWNERS);
+        assert_eq!(before.len(), owners::OWNERS_PER_INSTANCE);
         for gone in &all {
             let left: Vec<NodeId> = all.iter().copied().filter(|it| it != gone).collect();
             let after = chosen(&left, instance);
             let kept = before.iter().filter(|owner| after.contains(owner)).count();
-            let expected = owners::OWNERS - usize::from(before.contains(gone));
+            let expected = owners::OWNERS_PER_INSTANCE - usize::from(before.contains(gone));
             assert_eq!(kept, expected);
         }
     }
--- a/crates/linkhold-gateway/src/owners.rs
+++ b/crates/linkhold-gateway/src/owners.rs
@@ -183,7 +183,7 @@
             .iter()
             .filter(|node| self.places.region(&node.zone) == region)
             .collect();
-        let nearby = if in_zone.len() >= owners::OWNERS {
+        let nearby = if in_zone.len() >= owners::OWNERS_PER_INSTANCE {
             in_zone
         } else if in_region.is_empty() {
             nodes.iter().collect()
