--- a/crates/linkhold-core/src/service/connection_share.rs
+++ b/crates/linkhold-core/src/service/connection_share.rs
@@ -62,7 +62,7 @@
     let limit = owners::share(limit, owners);
     Share {
         limit,
-        idle_for: Some(owners::OWNER_IDLE),
+        idle_for: Some(owners::OWNER_IDLE_TIMEOUT),
         kept: limit / KEPT_DIVISOR,
     }
 }
--- a/crates/linkhold-core/src/service/owners.rs
+++ b/crates/linkhold-core/src/service/owners.rs
@@ -28,7 +28,7 @@
 /// to instances and for nodes that find no owner.
 const OWNED_PERCENT: usize = 85;
 /// How long an owner keeps a connection that it does not use.
-pub const OWNER_IDLE: Duration = Duration::from_millis(2_000);
+pub const OWNER_IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// The owners of an instance among the nodes near it: the same in all its lives.
 pub fn choose(instance: &InstanceId, nearby: impl Iterator<Item = NodeId>) -> Vec<NodeId> {
