--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -4,7 +4,7 @@
 //! Only the owners of an instance's connections send to it. An owner knows that it
 //! is warm by a connection of its own that has stood, and answered, since the
 //! instance's entry said so: a restart would have broken it. While it does not
-//! know, and while the instance is cold, only the first [`SPENDERS`] owners in the
+//! know, and while the instance is cold, only the first [`SENDERS`] owners in the
 //! order that all nodes share send, each within its part of the bound.
 //!
 //! # Invariants
@@ -26,7 +26,7 @@
 use std::time::{Duration, Instant};
 
 /// Owners that may send to a cold instance.
-pub const SPENDERS: usize = 2;
+pub const SENDERS: usize = 2;
 /// How often an owner asks on the connection by which it knows an instance warm.
 pub const QUESTION_INTERVAL: Duration = Duration::from_millis(500);
 /// How long an answer tells that the connection stands: a question may be missed.
@@ -76,7 +76,7 @@
 
     /// Requests that one spender may send in any second.
     pub fn part(&self, limit: WarmUpLimit) -> usize {
-        (self.most(limit) / SPENDERS as f64).floor() as usize
+        (self.most(limit) / SENDERS as f64).floor() as usize
     }
 
     /// How long a connection must have stood before it proves anything: an entry from
@@ -192,7 +192,7 @@
     } else {
         JOINING_TIME
     };
-    standing.rank.is_some_and(|rank| rank < SPENDERS)
+    standing.rank.is_some_and(|rank| rank < SENDERS)
         && standing.view_age < VIEW_TRUST
         && standing.life_time >= joined
 }
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::warm_up::{
-    ANSWER_VALIDITY, QUESTION_INTERVAL, RequestWindow, SPENDERS, SenderRank, WarmUpLimit,
+    ANSWER_VALIDITY, QUESTION_INTERVAL, RequestWindow, SENDERS, SenderRank, WarmUpLimit,
     WarmUpRules, Warmth, may_spend,
 };
 use proptest::prelude::*;
@@ -108,7 +108,7 @@
         let rules = rules(overshoot, slack);
         let most = rules.most(limit(per_second));
         let part = rules.part(limit(per_second));
-        prop_assert!((part * SPENDERS) as f64 <= most);
+        prop_assert!((part * SENDERS) as f64 <= most);
         prop_assert!(part >= 1 || most < 2.0);
     }
 
@@ -119,7 +119,7 @@
         let start = Instant::now();
         let mut sent = sends(start, &first, part, true);
         sent.extend(sends(start, &second, part, true));
-        prop_assert!(most_in_a_second(sent) <= part * SPENDERS);
+        prop_assert!(most_in_a_second(sent) <= part * SENDERS);
     }
 
     /// An instance is started again at any moment. It says so in an entry that is
@@ -177,7 +177,7 @@
         freezes: Vec::new(),
         cut_off_at: None,
     };
-    assert!(most_in_a_second(sends(start, &restarted, 5, false)) > 5 * SPENDERS);
+    assert!(most_in_a_second(sends(start, &restarted, 5, false)) > 5 * SENDERS);
     assert!(most_in_a_second(sends(start, &restarted, 5, true)) <= 5);
 }
 
@@ -283,7 +283,7 @@
     for standing in [
         SenderRank { rank: None, ..well },
         SenderRank {
-            rank: Some(SPENDERS),
+            rank: Some(SENDERS),
             ..well
         },
         SenderRank {
--- a/crates/linkhold-gateway/src/owners.rs
+++ b/crates/linkhold-gateway/src/owners.rs
@@ -206,7 +206,7 @@
             members: order.iter().filter_map(owner).collect(),
             spenders: chosen
                 .iter()
-                .take(warm_up::SPENDERS)
+                .take(warm_up::SENDERS)
                 .filter_map(owner)
                 .collect(),
             rank: chosen.iter().position(|id| *id == self.own),
