--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -272,4 +272,4 @@
 /// How often a follower tells its reader that it lives, and how often a reader
 /// renews its own row, which lists those that did. Together with the change to
 /// another reader, both stay below the age at which a node no longer counts.
-pub const FOLLOWER_RENEWAL: Duration = Duration::from_millis(3_000);
+pub const FOLLOWER_RENEWAL_INTERVAL: Duration = Duration::from_millis(3_000);
--- a/crates/linkhold-core/tests/service_readers.rs
+++ b/crates/linkhold-core/tests/service_readers.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use linkhold_core::service::readers::{
-    FOLLOWER_RENEWAL, Freshness, READER_EXPIRY, RENEWAL, ROW_EXPIRY, ReaderCandidate, SMALL_FLEET,
-    Source, choose_readers, claim_delay, link_delay, shed_probability, source,
+    FOLLOWER_RENEWAL_INTERVAL, Freshness, READER_EXPIRY, RENEWAL, ROW_EXPIRY, ReaderCandidate,
+    SMALL_FLEET, Source, choose_readers, claim_delay, link_delay, shed_probability, source,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -223,7 +223,7 @@
 #[test]
 fn a_followers_entry_outlives_a_change_of_its_reader() {
     let freshness = Freshness::for_bound(Duration::from_secs(13));
-    let spread = FOLLOWER_RENEWAL * 12 / 10;
+    let spread = FOLLOWER_RENEWAL_INTERVAL * 12 / 10;
     assert!(spread * 2 + freshness.trust < ROW_EXPIRY);
     assert!(spread * 2 <= READER_EXPIRY + Duration::from_millis(200));
 }
@@ -237,7 +237,7 @@
         let names = names(size);
         let region: Vec<_> = names.iter().map(|name| node("a", name)).collect();
         let writes = choose_readers(&region).len() as f64;
-        let a_second = writes / FOLLOWER_RENEWAL.as_secs_f64();
+        let a_second = writes / FOLLOWER_RENEWAL_INTERVAL.as_secs_f64();
         assert!(a_second < MOST_WRITES_A_SECOND, "{size} nodes: {a_second}");
     }
     let small = SMALL_FLEET as f64 / RENEWAL.as_secs_f64();
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use linkhold_core::service::listing::SentRenewals;
 use linkhold_core::service::permission::{RecentClaim, RenewalOutcome};
-use linkhold_core::service::readers::FOLLOWER_RENEWAL;
+use linkhold_core::service::readers::FOLLOWER_RENEWAL_INTERVAL;
 use linkhold_events::Event;
 use linkhold_peer::{FeedMessage, ListMoment, MAX_FEED_MESSAGE, PeerKey, decode_feed};
 use tokio::io::AsyncReadExt;
@@ -32,7 +32,7 @@
 
 /// How long a reader that is trusted may take to have a row written that lists this
 /// node: two of its renewals.
-const LISTING_PATIENCE: Duration = FOLLOWER_RENEWAL.saturating_mul(2);
+const LISTING_PATIENCE: Duration = FOLLOWER_RENEWAL_INTERVAL.saturating_mul(2);
 
 /// Why a reader is no longer followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -153,7 +153,7 @@
     if gateway.beliefs.permission.needs_confirmation() {
         CONFIRMATION_INTERVAL
     } else {
-        FOLLOWER_RENEWAL
+        FOLLOWER_RENEWAL_INTERVAL
     }
 }
 
