--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -127,7 +127,7 @@
     }
 
     /// Nobody was ever replaced before: who is believed to lead does.
-    pub fn prove_all_leads(&mut self) {
+    pub fn mark_all_primaries_verified(&mut self) {
         for belief in self.primaries.values_mut() {
             belief.is_proved = belief.current.is_some();
         }
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -178,7 +178,7 @@
         }
         let changes = instances.directory.replace(listed, currency, now);
         if self.has_replaced_nobody(now) {
-            instances.directory.prove_all_leads();
+            instances.directory.mark_all_primaries_verified();
         }
         drop(instances);
         for change in changes {
