--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -199,7 +199,7 @@
     }
 
     /// The present life of the instance with a name is no longer listed.
-    pub fn vanish_by_name(&mut self, name: &str, now: Instant) {
+    pub fn mark_missing_by_name(&mut self, name: &str, now: Instant) {
         if let Some(present) = self.lives.present(name).cloned() {
             self.vanish(&present, now);
         }
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -242,7 +242,9 @@
 
     /// The instance with a name is no longer listed.
     pub fn vanish_instance(&self, name: &str, now: Instant) {
-        lock(&self.instances).directory.vanish_by_name(name, now);
+        lock(&self.instances)
+            .directory
+            .mark_missing_by_name(name, now);
         Event::info("instance_unlisted")
             .field("instance", name)
             .log();
