--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -192,7 +192,7 @@
     }
 
     /// An instance is no longer listed.
-    pub fn vanish(&mut self, id: &InstanceId, now: Instant) {
+    pub fn mark_missing(&mut self, id: &InstanceId, now: Instant) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.missing_since.get_or_insert(now);
         }
@@ -201,7 +201,7 @@
     /// The present life of the instance with a name is no longer listed.
     pub fn mark_missing_by_name(&mut self, name: &str, now: Instant) {
         if let Some(present) = self.lives.present(name).cloned() {
-            self.vanish(&present, now);
+            self.mark_missing(&present, now);
         }
     }
 
@@ -221,7 +221,7 @@
             .cloned()
             .collect();
         for id in missing {
-            self.vanish(&id, now);
+            self.mark_missing(&id, now);
         }
         listed
             .into_iter()
--- a/crates/linkhold-core/tests/service_directory.rs
+++ b/crates/linkhold-core/tests/service_directory.rs
@@ -71,7 +71,7 @@
     directory.announce(ready("one", Role::Replica), start);
     let one = InstanceId("one".into());
     directory.disturbed();
-    directory.vanish(&one, start + Duration::from_millis(100));
+    directory.mark_missing(&one, start + Duration::from_millis(100));
     let long_after = start + Duration::from_secs(60);
     assert!(!directory.is_leaving(&one, long_after), "it is not back");
     directory.read(long_after);
@@ -123,7 +123,7 @@
     directory.replace(vec![ready("one", Role::Primary)], Recency::Present, start);
     let start = start + Directory::LAPSE;
     let one = InstanceId("one".into());
-    directory.vanish(&one, start);
+    directory.mark_missing(&one, start);
     assert!(directory.expire(start + DRAIN, DRAIN).is_empty());
     let late = start + DRAIN + Duration::from_millis(1);
     assert_eq!(directory.expire(late, DRAIN), vec![one]);
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -253,7 +253,7 @@
 
     /// A life of an instance is no longer known to whoever lists them.
     pub fn vanish_life(&self, id: &InstanceId, now: Instant) {
-        lock(&self.instances).directory.vanish(id, now);
+        lock(&self.instances).directory.mark_missing(id, now);
         self.announce_change();
     }
 
