--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -328,7 +328,7 @@
 
     /// Whether a list as of a moment tells all entries: those that lapsed with the directory,
     /// or that an older copy of it lacks, are back by then.
-    pub fn is_whole_as_of(&self, moment: Instant) -> bool {
+    pub fn is_complete_as_of(&self, moment: Instant) -> bool {
         match self.contact {
             Contact::Lost => false,
             Contact::Since(at) => moment >= at + Self::LAPSE,
--- a/crates/linkhold-core/tests/service_lives.rs
+++ b/crates/linkhold-core/tests/service_lives.rs
@@ -145,15 +145,15 @@
 fn a_list_is_whole_once_the_directory_was_readable_for_long_enough() {
     let start = Instant::now();
     let mut directory = Directory::default();
-    assert!(!directory.is_whole_as_of(start));
+    assert!(!directory.is_complete_as_of(start));
     directory.read(start);
-    assert!(!directory.is_whole_as_of(start + Directory::LAPSE - Duration::from_millis(1)));
-    assert!(directory.is_whole_as_of(start + Directory::LAPSE));
+    assert!(!directory.is_complete_as_of(start + Directory::LAPSE - Duration::from_millis(1)));
+    assert!(directory.is_complete_as_of(start + Directory::LAPSE));
     directory.disturbed();
-    assert!(!directory.is_whole_as_of(start + Directory::LAPSE));
+    assert!(!directory.is_complete_as_of(start + Directory::LAPSE));
     directory.read(start + Directory::LAPSE);
-    assert!(!directory.is_whole_as_of(start + Directory::LAPSE));
-    assert!(directory.is_whole_as_of(start + Directory::LAPSE * 2));
+    assert!(!directory.is_complete_as_of(start + Directory::LAPSE));
+    assert!(directory.is_complete_as_of(start + Directory::LAPSE * 2));
 }
 
 /// Whether, at some time, an instance is believed to lead that took the place of an earlier
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -273,7 +273,7 @@
     /// be missing that lapsed with the store, or that a copy lacks, that tells nothing.
     pub fn directory_vouched(&self, moment: Instant) {
         let mut known = lock(&self.instances);
-        if known.directory.is_whole_as_of(moment) {
+        if known.directory.is_complete_as_of(moment) {
             known.directory_as_of = known.directory_as_of.max(Some(moment));
         }
     }
