--- a/crates/linkhold-core/src/service/withholding.rs
+++ b/crates/linkhold-core/src/service/withholding.rs
@@ -87,7 +87,7 @@
     }
 
     /// Whether this holds for any instance.
-    pub fn holds_any(&self, now: Instant, directory_as_of: Option<Instant>) -> bool {
+    pub fn withholds_any(&self, now: Instant, directory_as_of: Option<Instant>) -> bool {
         let mut ids = self.agreed_at.keys();
         ids.any(|id| self.holds(id, now, directory_as_of))
     }
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -115,7 +115,7 @@
         let known = lock(&self.instances);
         known
             .withholdings
-            .holds_any(Instant::now(), known.directory_as_of)
+            .withholds_any(Instant::now(), known.directory_as_of)
     }
 
     /// Whether nothing of an instance may be acknowledged.
