--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -19,7 +19,7 @@
 //! * What one node counts in any second is at most its part of the bound, and the
 //!   parts of all spenders together are at most the bound.
 //! * A node counts as a spender only while it has heard of the fleet lately, and
-//!   only after the others had time to learn of it ([`may_spend`]). So a node that
+//!   only after the others had time to learn of it ([`may_send`]). So a node that
 //!   froze, was cut off or was started again is a spender in nobody's place.
 
 use std::collections::VecDeque;
@@ -186,7 +186,7 @@
 }
 
 /// Whether a node may send to an instance that is not known warm.
-pub fn may_spend(standing: SenderRank) -> bool {
+pub fn may_send(standing: SenderRank) -> bool {
     let joined = if standing.was_listed {
         LAST_LIFE
     } else {
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -4,7 +4,7 @@
 
 use linkhold_core::service::warm_up::{
     ANSWER_VALIDITY, QUESTION_INTERVAL, RequestWindow, SENDERS, SenderRank, WarmUpLimit,
-    WarmUpRules, Warmth, may_spend,
+    WarmUpRules, Warmth, may_send,
 };
 use proptest::prelude::*;
 
@@ -93,7 +93,7 @@
             },
             was_listed: true,
         };
-        if may_spend(standing) && count.spend(now, most, true).is_ok() {
+        if may_send(standing) && count.spend(now, most, true).is_ok() {
             sent.push(now);
         }
     }
@@ -279,7 +279,7 @@
         life_time: milliseconds(2_000),
         was_listed: true,
     };
-    assert!(may_spend(well));
+    assert!(may_send(well));
     for standing in [
         SenderRank { rank: None, ..well },
         SenderRank {
@@ -299,6 +299,6 @@
             ..well
         },
     ] {
-        assert!(!may_spend(standing), "{standing:?}");
+        assert!(!may_send(standing), "{standing:?}");
     }
 }
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -61,7 +61,7 @@
             if is_warm {
                 return Ok(());
             }
-            if !warm_up::may_spend(standing) {
+            if !warm_up::may_send(standing) {
                 return Err(ELSEWHERE_RETRY);
             }
             known.sent.spend(now, rules.part(limit), is_urgent)
