--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -137,7 +137,7 @@
 
     /// Whether an instance that was not started again since a moment is proved to have
     /// been warm then: the question that was answered last was sent later.
-    pub fn is_proved_since(&self, moment: Instant) -> bool {
+    pub fn is_answered_since(&self, moment: Instant) -> bool {
         let as_of = self.watch.and_then(|watch| watch.answered_as_of);
         as_of.is_some_and(|as_of| as_of >= moment)
     }
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -160,7 +160,7 @@
         let sent_on = at(restarted + 1);
         if is_cold && asked > restarted {
             let is_taken_for_warm = warmth.is_warm(&rules, says_cold, at(asked))
-                && warmth.is_proved_since(sent_on);
+                && warmth.is_answered_since(sent_on);
             prop_assert!(!is_taken_for_warm);
         }
     }
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -33,7 +33,7 @@
         entry: EntryKnown,
         now: Instant,
     ) -> bool {
-        self.may_be_warm(rules, entry, now) && self.warmth.is_proved_since(opened_at)
+        self.may_be_warm(rules, entry, now) && self.warmth.is_answered_since(opened_at)
     }
 
     /// Whether it is warm but for the age of the last proof. With the list of instances
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -92,7 +92,7 @@
         let now = Instant::now();
         self.warm_ups.update(&instance.id, |known| {
             let is_needed =
-                known.may_be_warm(rules, entry, now) && !known.warmth.is_proved_since(opened_at);
+                known.may_be_warm(rules, entry, now) && !known.warmth.is_answered_since(opened_at);
             if is_needed {
                 known.doubt.notify_one();
             }
