--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -94,7 +94,7 @@
     /// When the last question was sent that was answered.
     answered_as_of: Option<Instant>,
     /// The entry was seen that the life to which it leads has written.
-    is_life_listed: bool,
+    is_incarnation_listed: bool,
 }
 
 /// What a node knows of an instance's warmth.
@@ -110,7 +110,7 @@
         self.watch = Some(Watch {
             opened_at: now,
             answered_as_of: None,
-            is_life_listed: false,
+            is_incarnation_listed: false,
         });
     }
 
@@ -148,13 +148,13 @@
     pub fn entry_known(&mut self, rules: &WarmUpRules, is_listed: bool, as_of: Option<Instant>) {
         if let Some(watch) = &mut self.watch {
             let settled_at = watch.opened_at + rules.settling_time();
-            watch.is_life_listed |= is_listed && as_of >= Some(settled_at);
+            watch.is_incarnation_listed |= is_listed && as_of >= Some(settled_at);
         }
     }
 
     /// Whether the entry is known to be that of the life to which the connection leads.
-    pub fn is_life_listed(&self) -> bool {
-        self.watch.is_some_and(|watch| watch.is_life_listed)
+    pub fn is_incarnation_listed(&self) -> bool {
+        self.watch.is_some_and(|watch| watch.is_incarnation_listed)
     }
 
     /// Whether it is certainly warm. `says_cold`: so does its entry.
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -224,7 +224,7 @@
         let is_listed = moment < gone_at || !looks_at_listing;
         warmth.entry_known(&rules, is_listed, Some(start + milliseconds(moment)));
     }
-    warmth.is_life_listed()
+    warmth.is_incarnation_listed()
 }
 
 proptest! {
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -42,7 +42,7 @@
     /// where 10 are.
     pub fn may_be_warm(&mut self, rules: &WarmUpRules, entry: EntryKnown, now: Instant) -> bool {
         self.warmth.entry_known(rules, entry.is_listed, entry.as_of);
-        self.warmth.is_life_listed() && self.warmth.is_warm(rules, entry.says_cold, now)
+        self.warmth.is_incarnation_listed() && self.warmth.is_warm(rules, entry.says_cold, now)
     }
 
     /// Logs that an instance is taken for warm, or no longer.
