--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -122,7 +122,7 @@
     }
 
     /// That connection broke, or is no longer kept.
-    pub fn unwatched(&mut self) {
+    pub fn watch_closed(&mut self) {
         self.watch = None;
     }
 
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -145,7 +145,7 @@
                 warmth.watched(at(moment));
             }
             if moment == restarted + noticed_after.min(reopened_after) {
-                warmth.unwatched();
+                warmth.watch_closed();
             }
             // The old connection answers nothing any more.
             let is_heard = moment < restarted || moment >= restarted + reopened_after;
--- a/crates/linkhold-gateway/src/warm_up/watch.rs
+++ b/crates/linkhold-gateway/src/warm_up/watch.rs
@@ -87,7 +87,7 @@
             ask_until_broken(&gateway, id, connection).await;
             gateway
                 .warm_ups
-                .update(id, |known| known.warmth.unwatched());
+                .update(id, |known| known.warmth.watch_closed());
         }
         sleep(RECONNECT_PAUSE.mul_f64(rand::random_range(0.7..1.3))).await;
     }
@@ -102,7 +102,7 @@
     fn drop(&mut self) {
         self.gateway
             .warm_ups
-            .update(self.id, |known| known.warmth.unwatched());
+            .update(self.id, |known| known.warmth.watch_closed());
     }
 }
 
