--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -83,7 +83,7 @@
     }
 
     /// How long a node waits for the first word of a reader.
-    pub fn first_word_time(&self) -> Duration {
+    pub fn first_message_timeout(&self) -> Duration {
         let [least, most] = FIRST_WORD_TIMES;
         self.search.clamp(least, most)
     }
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -107,7 +107,7 @@
     /// A try fails; one of a silent reader ends at its time-out, or at `limit`.
     fn fail(&mut self, found: Reader, limit: Instant) {
         self.now = match found {
-            Reader::Silent => limit.min(self.now + self.freshness.first_word_time()),
+            Reader::Silent => limit.min(self.now + self.freshness.first_message_timeout()),
             Reader::Stale | Reader::Fresh => self.now + CALL,
         };
         let draw = self.random.random();
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -80,7 +80,8 @@
     patience: Patience,
     trusted_until: &mut Instant,
 ) -> Lost {
-    let first_word_until = patience.limit(Instant::now() + gateway.freshness.first_word_time());
+    let first_word_until =
+        patience.limit(Instant::now() + gateway.freshness.first_message_timeout());
     let connecting = timeout_at(first_word_until.into(), TcpStream::connect(reader)).await;
     let Ok(Ok(mut stream)) = connecting else {
         return Lost::Unreachable;
