--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -166,7 +166,7 @@
 impl FailoverLease {
     /// The lease as it is written just before an order leaves under `claimed`; `None` if
     /// another claim has taken its place.
-    pub fn about_to_order(&self, claimed: &Self, now: u64) -> Option<Self> {
+    pub fn with_order_recorded(&self, claimed: &Self, now: u64) -> Option<Self> {
         let is_same = self.holder == claimed.holder
             && self.token == claimed.token
             && self.successor == claimed.successor;
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -196,7 +196,7 @@
     let now = read.read_at.now;
     let is_of_era = era_of_token(claimed.token) == read.read_at.era;
     let current = read.lease.as_ref().filter(|_| is_of_era);
-    let Some(lease) = current.and_then(|row| row.about_to_order(claimed, now)) else {
+    let Some(lease) = current.and_then(|row| row.with_order_recorded(claimed, now)) else {
         return Ok(None);
     };
     let written = write_lease(gateway, service, &lease, &read).await?;
