--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -302,7 +302,7 @@
 /// Candidates for a planned switch-over, in which commits are waited for: those that
 /// are close to the one that has received most, and warm, if any is. With
 /// `synchronous` replicas nothing comes before what was received.
-pub fn candidates_to_wait_for(candidates: Vec<Successor>, synchronous: usize) -> Vec<Successor> {
+pub fn switchover_candidates(candidates: Vec<Successor>, synchronous: usize) -> Vec<Successor> {
     if synchronous > 0 {
         return candidates;
     }
--- a/crates/linkhold-core/tests/service_failover.rs
+++ b/crates/linkhold-core/tests/service_failover.rs
@@ -5,8 +5,8 @@
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::failover::{
     ClaimDecision, ClaimTime, FailoverLease, InstanceStatus, LEASE, ReachabilityTally, Successor,
-    candidates_to_wait_for, choose_successor, claim, hold_ready, is_current, may_hand_over,
-    statuses_required,
+    choose_successor, claim, hold_ready, is_current, may_hand_over, statuses_required,
+    switchover_candidates,
 };
 use linkhold_core::service::instance::{InstanceId, Role};
 use proptest::prelude::*;
@@ -217,7 +217,7 @@
     let mut cold = candidate("a", at(100), false);
     cold.is_warm = false;
     let chosen = |candidates: Vec<Successor>| {
-        let candidates = candidates_to_wait_for(candidates, 0);
+        let candidates = switchover_candidates(candidates, 0);
         choose_successor(&candidates, 0).unwrap().status.id.clone()
     };
     let close = candidate("b", at(90), false);
@@ -228,7 +228,7 @@
     assert_eq!(chosen(vec![cold.clone(), leaving.clone(), behind]), id("a"));
     // A commit that a replica had to hold may be on the cold one alone.
     let close = candidate("b", at(90), false);
-    let candidates = candidates_to_wait_for(vec![cold, leaving, close], 1);
+    let candidates = switchover_candidates(vec![cold, leaving, close], 1);
     assert_eq!(candidates.len(), 3);
 }
 
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -296,7 +296,7 @@
         .collect();
     let candidates = match trouble {
         Trouble::Leaving | Trouble::Misplaced => {
-            failover::candidates_to_wait_for(candidates, synchronous)
+            failover::switchover_candidates(candidates, synchronous)
         }
         Trouble::Unknown | Trouble::Lost => candidates,
     };
