--- a/crates/linkhold-core/src/service/concurrency.rs
+++ b/crates/linkhold-core/src/service/concurrency.rs
@@ -55,7 +55,7 @@
     }
 
     /// The instance answered while others waited here.
-    pub fn answered_under_load(&mut self) {
+    pub fn record_answer_under_load(&mut self) {
         self.limit = (self.limit + INCREASE / self.limit).min(self.most);
     }
 
--- a/crates/linkhold-core/tests/service_concurrency.rs
+++ b/crates/linkhold-core/tests/service_concurrency.rs
@@ -30,11 +30,11 @@
     assert!(limit.get() < lowered);
     let low = limit.get();
     for _ in 0..low {
-        limit.answered_under_load();
+        limit.record_answer_under_load();
     }
     assert!(limit.get() <= low + 1);
     for _ in 0..low * 8 {
-        limit.answered_under_load();
+        limit.record_answer_under_load();
     }
     assert!(limit.get() > low + 1);
 }
@@ -58,7 +58,7 @@
             if is_refused {
                 limit.refused(now);
             } else {
-                limit.answered_under_load();
+                limit.record_answer_under_load();
             }
             prop_assert!(limit.get() >= 1);
             prop_assert!(limit.get() <= connections.max(1));
--- a/crates/linkhold-gateway/src/gate.rs
+++ b/crates/linkhold-gateway/src/gate.rs
@@ -108,7 +108,7 @@
         let mut state = lock(&self.state);
         state.running -= 1;
         if !state.waiters.is_empty() {
-            state.limit.answered_under_load();
+            state.limit.record_answer_under_load();
         }
         let mut passes = Vec::new();
         while state.running < state.limit.get() {
