--- a/crates/linkhold-core/src/service/health.rs
+++ b/crates/linkhold-core/src/service/health.rs
@@ -99,7 +99,7 @@
     }
 
     /// It had what a read required.
-    pub fn was_fresh_enough(&mut self) {
+    pub fn record_fresh_read(&mut self) {
         self.behind = None;
     }
 
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -165,7 +165,7 @@
     assert!(!behind.lacks(REQUIRED, late));
     behind.lagged(late);
     assert!(behind.lacks(REQUIRED, late), "what it held was rolled back");
-    behind.was_fresh_enough();
+    behind.record_fresh_read();
     assert!(!behind.lacks(REQUIRED, late));
 }
 
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -322,7 +322,7 @@
             Attempt::Answered(answer) => {
                 gateway
                     .beliefs
-                    .observe(&instance.id, |health| health.was_fresh_enough());
+                    .observe(&instance.id, |health| health.record_fresh_read());
                 return Ok(answer);
             }
             Attempt::NotRun(cause) => {
