--- a/crates/linkhold-gateway/src/evidence/lead_proof.rs
+++ b/crates/linkhold-gateway/src/evidence/lead_proof.rs
@@ -3,7 +3,7 @@
 //!
 //! Before the first answer of such a primary is told, the instances of its service are asked
 //! once for their terms, and what the store keeps of earlier promotions is looked at
-//! ([`linkhold_core::service::lead`]).
+//! ([`linkhold_core::service::primary_verification`]).
 
 use std::sync::Arc;
 
