--- a/crates/linkhold-core/src/service/reader_search.rs
+++ b/crates/linkhold-core/src/service/reader_search.rs
@@ -50,7 +50,7 @@
 
 /// A search for a reader. Begins anew whenever a reader was trusted.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Search {
+pub struct ReaderSearch {
     failed: usize,
     /// When the store is looked at, from the first reader that failed on.
     look_at: Option<Instant>,
@@ -84,7 +84,7 @@
     }
 }
 
-impl Search {
+impl ReaderSearch {
     /// Readers that were of no use, since one was trusted.
     pub fn failed_readers(&self) -> usize {
         self.failed
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::reader_search::{Search, Situation, Step};
+use linkhold_core::service::reader_search::{ReaderSearch, Situation, Step};
 use linkhold_core::service::readers::Freshness;
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -24,7 +24,7 @@
 
 /// A node that has just lost its reader, on a simulated clock.
 struct Node {
-    search: Search,
+    search: ReaderSearch,
     now: Instant,
     trusted_until: Instant,
     freshness: Freshness,
@@ -46,7 +46,7 @@
         let now = Instant::now();
         let freshness = Freshness::for_bound(bound);
         Self {
-            search: Search::default(),
+            search: ReaderSearch::default(),
             now,
             // Silence is found out when trust ends.
             trusted_until: now,
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::reader_search::{Search, Situation, Step};
+use linkhold_core::service::reader_search::{ReaderSearch, Situation, Step};
 use linkhold_core::service::readers::{claim_delay, link_delay};
 use linkhold_events::Event;
 use rand::seq::SliceRandom;
@@ -101,7 +101,7 @@
 /// What a reader told last stays good for as long as it is trusted, so a node
 /// that changes to another reader within that time does not ask the store.
 struct Follower {
-    search: Search,
+    search: ReaderSearch,
     trusted_until: Instant,
     /// Readers that are tried in turn.
     order: Vec<SocketAddr>,
@@ -110,7 +110,7 @@
 impl Follower {
     fn new() -> Self {
         Self {
-            search: Search::default(),
+            search: ReaderSearch::default(),
             trusted_until: Instant::now(),
             order: Vec::new(),
         }
@@ -158,7 +158,7 @@
             .field("was_trusted", was_trusted)
             .log();
         if was_trusted {
-            self.search = Search::default();
+            self.search = ReaderSearch::default();
         } else {
             let situation = self.situation(gateway);
             self.search.reader_failed(&situation, rand::random());
@@ -184,7 +184,7 @@
         }
         gateway.sources.read(ReadReason::NoReaderTrusted);
         sleep(ALONE_TIME.mul_f64(rand::random_range(0.8..1.2))).await;
-        self.search = Search::default();
+        self.search = ReaderSearch::default();
     }
 }
 
