--- a/crates/linkhold-core/src/service/reader_search.rs
+++ b/crates/linkhold-core/src/service/reader_search.rs
@@ -61,7 +61,7 @@
 
 /// What the node knows when it decides.
 #[derive(Clone, Copy, Debug)]
-pub struct Situation {
+pub struct SearchSituation {
     /// Now.
     pub now: Instant,
     /// Until when what the last reader told may be used.
@@ -74,7 +74,7 @@
     pub freshness: Freshness,
 }
 
-impl Situation {
+impl SearchSituation {
     fn time_to_search(&self) -> Duration {
         if self.can_serve {
             self.freshness.search
@@ -92,7 +92,7 @@
 
     /// A reader was of no use. `draw`, uniform between 0 and 1, spreads the looks
     /// of nodes that lose their readers together.
-    pub fn reader_failed(&mut self, situation: &Situation, draw: f64) {
+    pub fn reader_failed(&mut self, situation: &SearchSituation, draw: f64) {
         self.failed += 1;
         self.look_at.get_or_insert_with(|| {
             let untrusted_at = situation.trusted_until.max(situation.now);
@@ -101,7 +101,7 @@
     }
 
     /// The store answered a look, or did not; `draw` spreads the next one.
-    pub fn looked(&mut self, has_answered: bool, situation: &Situation, draw: f64) {
+    pub fn looked(&mut self, has_answered: bool, situation: &SearchSituation, draw: f64) {
         if has_answered {
             self.confirmed_at = Some(situation.now + situation.time_to_search());
             return;
@@ -113,7 +113,7 @@
     }
 
     /// What to do next.
-    pub fn next(&self, situation: &Situation) -> Step {
+    pub fn next(&self, situation: &SearchSituation) -> Step {
         let now = situation.now;
         if let Some(confirmed_at) = self.confirmed_at {
             return if now >= confirmed_at {
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::reader_search::{ReaderSearch, Situation, Step};
+use linkhold_core::service::reader_search::{ReaderSearch, SearchSituation, Step};
 use linkhold_core::service::readers::Freshness;
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -58,8 +58,8 @@
         }
     }
 
-    fn situation(&self) -> Situation {
-        Situation {
+    fn situation(&self) -> SearchSituation {
+        SearchSituation {
             now: self.now,
             trusted_until: self.trusted_until,
             readers: self.readers,
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::reader_search::{ReaderSearch, Situation, Step};
+use linkhold_core::service::reader_search::{ReaderSearch, SearchSituation, Step};
 use linkhold_core::service::readers::{claim_delay, link_delay};
 use linkhold_events::Event;
 use rand::seq::SliceRandom;
@@ -116,8 +116,8 @@
         }
     }
 
-    fn situation<P: Platform>(&self, gateway: &Gateway<P>) -> Situation {
-        Situation {
+    fn situation<P: Platform>(&self, gateway: &Gateway<P>) -> SearchSituation {
+        SearchSituation {
             now: Instant::now(),
             trusted_until: self.trusted_until,
             readers: self.order.len().min(FIRST_ROUND.iter().sum()),
