--- a/crates/linkhold-core/src/service/reader_search.rs
+++ b/crates/linkhold-core/src/service/reader_search.rs
@@ -29,7 +29,7 @@
     /// Follow a reader, also one that has lost the store, until then.
     Stay(Instant),
     /// Ask the store once.
-    Look,
+    CheckStore,
     /// Read the store.
     Read,
 }
@@ -125,7 +125,7 @@
         let further = self.failed.checked_sub(situation.readers);
         let stays = further.is_some_and(|further| further % STAY_EVERY == 0);
         match self.look_at {
-            Some(look_at) if now >= look_at => Step::Look,
+            Some(look_at) if now >= look_at => Step::CheckStore,
             Some(look_at) if stays => Step::Stay(look_at.min(now + STAY_TIME)),
             Some(_) | None => Step::Follow,
         }
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -81,7 +81,7 @@
             let index = self.search.failed_readers() % self.readers;
             match (step, reader(index, self.now)) {
                 (Step::Read, _) => return Some(End::Reads),
-                (Step::Look, _) => {
+                (Step::CheckStore, _) => {
                     self.now += CALL;
                     self.looks.push(self.now);
                     let draw = self.random.random();
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -137,7 +137,7 @@
         match self.search.next(&situation) {
             Step::Follow => self.follow(gateway, Patience::UntilStale).await,
             Step::Stay(until) => self.follow(gateway, Patience::Until(until)).await,
-            Step::Look => self.look(gateway).await,
+            Step::CheckStore => self.look(gateway).await,
             Step::Read => self.read_alone(gateway).await,
         }
     }
