--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recency {
     /// It is what is listed now.
-    Present,
+    Current,
     /// It is from a copy, made before the last changes that are known.
     MayBeOlder,
 }
--- a/crates/linkhold-core/tests/service_directory.rs
+++ b/crates/linkhold-core/tests/service_directory.rs
@@ -90,10 +90,10 @@
     let start = Instant::now();
     let mut directory = Directory::default();
     let both = vec![ready("one", Role::Primary), ready("two", Role::Replica)];
-    directory.replace(both, Recency::Present, start);
+    directory.replace(both, Recency::Current, start);
     directory.disturbed();
     let back = start + Duration::from_secs(5);
-    directory.replace(Vec::new(), Recency::Present, back);
+    directory.replace(Vec::new(), Recency::Current, back);
     let [one, two] = ["one", "two"].map(|name| InstanceId(name.into()));
     let on_time = back + Duration::from_millis(2_000);
     assert!(!directory.is_leaving(&one, on_time));
@@ -109,9 +109,9 @@
 fn an_entry_is_told_as_listed_until_its_absence_counts() {
     let start = Instant::now();
     let mut directory = Directory::default();
-    directory.replace(vec![ready("one", Role::Primary)], Recency::Present, start);
+    directory.replace(vec![ready("one", Role::Primary)], Recency::Current, start);
     directory.disturbed();
-    directory.replace(Vec::new(), Recency::Present, start);
+    directory.replace(Vec::new(), Recency::Current, start);
     assert!(directory.all(start + Directory::LAPSE / 2)[0].1);
     assert!(!directory.all(start + Directory::LAPSE * 2)[0].1);
 }
@@ -120,7 +120,7 @@
 fn a_vanished_instance_is_forgotten_after_its_drain_time_only() {
     let start = Instant::now();
     let mut directory = Directory::default();
-    directory.replace(vec![ready("one", Role::Primary)], Recency::Present, start);
+    directory.replace(vec![ready("one", Role::Primary)], Recency::Current, start);
     let start = start + Directory::LAPSE;
     let one = InstanceId("one".into());
     directory.mark_missing(&one, start);
@@ -155,7 +155,7 @@
     directory.announce(ready("two", Role::Replica), start);
     directory.read(start);
     let start = start + Directory::LAPSE;
-    directory.replace(vec![ready("two", Role::Replica)], Recency::Present, start);
+    directory.replace(vec![ready("two", Role::Replica)], Recency::Current, start);
     let later = start + Duration::from_millis(1);
     assert!(directory.is_leaving(&InstanceId("one".into()), later));
     assert!(!directory.is_leaving(&InstanceId("two".into()), later));
@@ -167,7 +167,7 @@
     let mut directory = Directory::default();
     let one = InstanceId("one".into());
     let leaving = instance("one", Role::Replica, Lifecycle::Draining);
-    directory.replace(vec![leaving], Recency::Present, start);
+    directory.replace(vec![leaving], Recency::Current, start);
     assert_eq!(directory.leaving_for(&one, start), Some(Duration::MAX));
 }
 
@@ -176,7 +176,7 @@
     let start = Instant::now();
     let mut directory = Directory::default();
     assert!(!directory.is_settled(start + Duration::from_secs(60)));
-    directory.replace(vec![ready("two", Role::Replica)], Recency::Present, start);
+    directory.replace(vec![ready("two", Role::Replica)], Recency::Current, start);
     assert!(!directory.is_settled(start + Directory::LAPSE));
     let calm = start + Directory::LAPSE + Duration::from_millis(1);
     assert!(directory.is_settled(calm));
--- a/crates/linkhold-core/tests/service_lives.rs
+++ b/crates/linkhold-core/tests/service_lives.rs
@@ -101,7 +101,7 @@
     let mut present = Directory::default();
     present.announce(life("one", 7, Role::Replica), now);
     present.announce(life("two", 7, Role::Primary), now);
-    present.replace(copy(), Recency::Present, now);
+    present.replace(copy(), Recency::Current, now);
     assert_eq!(primary(&present).as_deref(), Some("one@7"));
 }
 
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -170,7 +170,7 @@
         let currency = if is_copy {
             Recency::MayBeOlder
         } else {
-            Recency::Present
+            Recency::Current
         };
         let mut instances = lock(&self.instances);
         if is_copy {
