--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -97,9 +97,9 @@
         let id = instance.id.clone();
         let role = instance.role;
         match self.lives.announce(&id) {
-            IncarnationChange::Former => return None,
-            IncarnationChange::Later(ended) => self.end_life(&ended, &id),
-            IncarnationChange::Present => {}
+            IncarnationChange::Ended => return None,
+            IncarnationChange::Replaces(ended) => self.end_life(&ended, &id),
+            IncarnationChange::Unchanged => {}
         }
         let known = self.entries.get(&id);
         let previous = known.map(|entry| entry.instance.role);
--- a/crates/linkhold-core/src/service/incarnations.rs
+++ b/crates/linkhold-core/src/service/incarnations.rs
@@ -17,11 +17,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IncarnationChange {
     /// It is the present one, or the first that is known.
-    Present,
+    Unchanged,
     /// It is one that has ended.
-    Former,
+    Ended,
     /// It takes the place of this one.
-    Later(InstanceId),
+    Replaces(InstanceId),
 }
 
 /// The lives of one instance.
@@ -60,14 +60,14 @@
     pub fn announce(&mut self, id: &InstanceId) -> IncarnationChange {
         let Some(lives) = self.0.get_mut(id.name()) else {
             self.0.insert(id.name().into(), Lives::new(id.clone()));
-            return IncarnationChange::Present;
+            return IncarnationChange::Unchanged;
         };
         if lives.present == *id {
-            IncarnationChange::Present
+            IncarnationChange::Unchanged
         } else if lives.former.contains(id) {
-            IncarnationChange::Former
+            IncarnationChange::Ended
         } else {
-            IncarnationChange::Later(lives.begin(id))
+            IncarnationChange::Replaces(lives.begin(id))
         }
     }
 
