--- a/crates/linkhold-core/src/service/primary_verification.rs
+++ b/crates/linkhold-core/src/service/primary_verification.rs
@@ -66,7 +66,7 @@
 
 /// Judges an instance that is believed to lead for its entry alone, by what it and the others
 /// of its service told when they were asked, and by what the store keeps.
-pub fn judge(
+pub fn verify_primary(
     id: &InstanceId,
     statuses: &[InstanceStatus],
     record: &PromotionRecord,
--- a/crates/linkhold-core/tests/service_lead.rs
+++ b/crates/linkhold-core/tests/service_lead.rs
@@ -4,7 +4,9 @@
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::failover::InstanceStatus;
 use linkhold_core::service::instance::{InstanceId, Role};
-use linkhold_core::service::primary_verification::{PrimaryVerdict, PromotionRecord, judge};
+use linkhold_core::service::primary_verification::{
+    PrimaryVerdict, PromotionRecord, verify_primary,
+};
 use proptest::prelude::*;
 
 const NAMES: [&str; 3] = ["one", "two", "three"];
@@ -32,14 +34,14 @@
 #[test]
 fn an_instance_that_is_alone_leads_if_nobody_was_ever_promoted() {
     let alone = [status("one", Role::Primary, 1)];
-    let verdict = judge(&id("one"), &alone, &record(&[], None));
+    let verdict = verify_primary(&id("one"), &alone, &record(&[], None));
     assert_eq!(verdict, PrimaryVerdict::Leads);
 }
 
 #[test]
 fn an_instance_that_does_not_answer_proves_nothing() {
     let others = [status("two", Role::Replica, 1)];
-    let verdict = judge(&id("one"), &others, &record(&[], None));
+    let verdict = verify_primary(&id("one"), &others, &record(&[], None));
     assert_eq!(verdict, PrimaryVerdict::Silent);
 }
 
@@ -47,7 +49,7 @@
 #[test]
 fn a_newer_term_that_was_proved_counts_while_all_others_are_away() {
     let alone = [status("one", Role::Primary, 1)];
-    let verdict = judge(&id("one"), &alone, &record(&[], Some(2)));
+    let verdict = verify_primary(&id("one"), &alone, &record(&[], Some(2)));
     assert_eq!(verdict, PrimaryVerdict::Replaced(Term(2)));
 }
 
@@ -55,9 +57,15 @@
 fn a_claimed_successor_that_is_away_may_have_been_promoted() {
     let alone = [status("one", Role::Primary, 1)];
     let claimed = record(&["two"], None);
-    assert_eq!(judge(&id("one"), &alone, &claimed), PrimaryVerdict::Unknown);
+    assert_eq!(
+        verify_primary(&id("one"), &alone, &claimed),
+        PrimaryVerdict::Unknown
+    );
     let told = [alone[0].clone(), status("two", Role::Replica, 1)];
-    assert_eq!(judge(&id("one"), &told, &claimed), PrimaryVerdict::Leads);
+    assert_eq!(
+        verify_primary(&id("one"), &told, &claimed),
+        PrimaryVerdict::Leads
+    );
 }
 
 /// The successor started again with nothing: its word is that of another life.
@@ -68,7 +76,10 @@
         status("two@9", Role::Replica, 1),
     ];
     let claimed = record(&["two@7"], None);
-    assert_eq!(judge(&id("one"), &told, &claimed), PrimaryVerdict::Unknown);
+    assert_eq!(
+        verify_primary(&id("one"), &told, &claimed),
+        PrimaryVerdict::Unknown
+    );
 }
 
 #[test]
@@ -138,7 +149,7 @@
     };
     let replaced = (0..NAMES.len()).filter(|index| *index != leader);
     replaced
-        .map(|index| judge(&id(NAMES[index]), &statuses, &known))
+        .map(|index| verify_primary(&id(NAMES[index]), &statuses, &known))
         .any(|verdict| verdict == PrimaryVerdict::Leads)
 }
 
@@ -154,7 +165,7 @@
     fn the_leader_is_believed_when_all_answer(history in histories()) {
         let history = History { answers: [true; 3], ..history };
         let (statuses, known, leader) = played(&history);
-        prop_assert_eq!(judge(&id(NAMES[leader]), &statuses, &known), PrimaryVerdict::Leads);
+        prop_assert_eq!(verify_primary(&id(NAMES[leader]), &statuses, &known), PrimaryVerdict::Leads);
     }
 }
 
--- a/crates/linkhold-gateway/src/evidence/lead_proof.rs
+++ b/crates/linkhold-gateway/src/evidence/lead_proof.rs
@@ -81,14 +81,14 @@
 ) -> PrimaryVerdict {
     let service = &instance.service;
     if let Some(record) = gateway.lead_records.of(service) {
-        let verdict = primary_verification::judge(&instance.id, statuses, &record);
+        let verdict = primary_verification::verify_primary(&instance.id, statuses, &record);
         if verdict != PrimaryVerdict::Unknown {
             return verdict;
         }
     }
     match failover::read_lead_record(gateway, service).await {
         Ok(record) => {
-            let verdict = primary_verification::judge(&instance.id, statuses, &record);
+            let verdict = primary_verification::verify_primary(&instance.id, statuses, &record);
             gateway.lead_records.update(service, record);
             verdict
         }
