--- a/crates/linkhold-core/src/service/primary_verification.rs
+++ b/crates/linkhold-core/src/service/primary_verification.rs
@@ -30,7 +30,7 @@
 
 impl PromotionRecord {
     /// The lease is claimed for an instance.
-    pub fn claim(&mut self, successor: &InstanceId) {
+    pub fn record_claim(&mut self, successor: &InstanceId) {
         self.claimed.retain(|claimed| claimed != successor);
         self.claimed.push(successor.clone());
         if self.claimed.len() > MOST_CLAIMED {
--- a/crates/linkhold-core/tests/service_lead.rs
+++ b/crates/linkhold-core/tests/service_lead.rs
@@ -119,7 +119,7 @@
     let mut leader = 0;
     let mut known = record(&[], None);
     for (successor, is_promoted, is_proved) in &history.claims {
-        known.claim(&id(NAMES[*successor]));
+        known.record_claim(&id(NAMES[*successor]));
         if !is_promoted || *successor == leader {
             continue;
         }
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -292,7 +292,7 @@
             return Ok(None);
         }
     };
-    read.record.claim(successor);
+    read.record.record_claim(successor);
     let written = write_lease(gateway, service, &lease, &read).await?;
     Ok(written.then_some(lease))
 }
