--- a/crates/linkhold-core/src/service/primary_verification.rs
+++ b/crates/linkhold-core/src/service/primary_verification.rs
@@ -40,7 +40,7 @@
 
     /// A primary's log was proved to end in a term; whether that is news. Nobody claimed
     /// before leads a later one, but `pending`, for which a claim may still take effect.
-    pub fn prove(&mut self, term: Term, pending: Option<&InstanceId>) -> bool {
+    pub fn record_proved_term(&mut self, term: Term, pending: Option<&InstanceId>) -> bool {
         if self.proved_term > Some(term) {
             return false;
         }
--- a/crates/linkhold-core/tests/service_lead.rs
+++ b/crates/linkhold-core/tests/service_lead.rs
@@ -85,11 +85,11 @@
 #[test]
 fn a_proof_is_news_once_and_ends_claims_that_take_no_effect_any_more() {
     let mut known = record(&["two", "three"], None);
-    assert!(known.prove(Term(2), Some(&id("three"))));
+    assert!(known.record_proved_term(Term(2), Some(&id("three"))));
     assert_eq!(known, record(&["three"], Some(2)));
-    assert!(!known.prove(Term(2), Some(&id("three"))));
-    assert!(!known.prove(Term(1), None));
-    assert!(known.prove(Term(2), None));
+    assert!(!known.record_proved_term(Term(2), Some(&id("three"))));
+    assert!(!known.record_proved_term(Term(1), None));
+    assert!(known.record_proved_term(Term(2), None));
     assert_eq!(known, record(&[], Some(2)));
 }
 
@@ -127,7 +127,7 @@
         terms[leader] = terms.iter().max().unwrap() + 1;
         says_it_leads[leader] = true;
         if *is_proved {
-            known.prove(Term(terms[leader]), Some(&id(NAMES[leader])));
+            known.record_proved_term(Term(terms[leader]), Some(&id(NAMES[leader])));
         }
     }
     let role = |index: usize| match says_it_leads[index] {
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -258,7 +258,7 @@
     let pending = claimed.filter(|it| it.may_take_effect(now));
     if !read
         .record
-        .prove(term, pending.and_then(|it| it.successor.as_ref()))
+        .record_proved_term(term, pending.and_then(|it| it.successor.as_ref()))
     {
         return Ok(true);
     }
