--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -105,7 +105,7 @@
 
     /// Whether an instance is believed to lead for its announcement alone, which does not
     /// tell a term.
-    pub fn needs_lead_proof(&self, id: &InstanceId) -> bool {
+    pub fn needs_primary_verification(&self, id: &InstanceId) -> bool {
         let Some(instance) = self.instance(id) else {
             return false;
         };
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -133,7 +133,9 @@
 
     /// Whether an instance is believed to lead for its announcement alone.
     pub fn needs_lead_proof(&self, id: &InstanceId) -> bool {
-        lock(&self.instances).directory.needs_lead_proof(id)
+        lock(&self.instances)
+            .directory
+            .needs_primary_verification(id)
     }
 
     /// Nothing that the other instances know speaks against an instance that is believed to
