--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -132,7 +132,7 @@
             // It was a replica, and has been promoted since.
             Role::Primary if previous == Some(Role::Replica) => {
                 let change = self.believe(&service, Some(id.clone()), PrimarySource::Announced);
-                self.prove_lead(&id);
+                self.mark_primary_verified(&id);
                 change
             }
             Role::Primary if belief.denied.contains(&id) => None,
--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -92,7 +92,7 @@
     ) -> Option<PrimaryChange> {
         let service = self.instance(id)?.service.clone();
         let change = self.believe(&service, Some(id.clone()), source);
-        self.prove_lead(id);
+        self.mark_primary_verified(id);
         change
     }
 
@@ -115,7 +115,7 @@
 
     /// Nothing that the other instances know speaks against an instance that is believed to
     /// lead.
-    pub fn prove_lead(&mut self, id: &InstanceId) {
+    pub fn mark_primary_verified(&mut self, id: &InstanceId) {
         let Some(service) = self.instance(id).map(|instance| instance.service.clone()) else {
             return;
         };
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -217,7 +217,7 @@
         let mut instances = lock(&self.instances);
         let change = instances.directory.announce(instance, now);
         if self.has_replaced_nobody(now) {
-            instances.directory.prove_lead(&id);
+            instances.directory.mark_primary_verified(&id);
         }
         drop(instances);
         self.after(change);
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -141,7 +141,7 @@
     /// Nothing that the other instances know speaks against an instance that is believed to
     /// lead.
     pub fn prove_lead(&self, id: &InstanceId) {
-        lock(&self.instances).directory.prove_lead(id);
+        lock(&self.instances).directory.mark_primary_verified(id);
     }
 
     /// An instance denied being primary.
