--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -134,7 +134,7 @@
     }
 
     /// Instances that announce being primary and were not denied it.
-    pub fn claimants(&self, service: &str) -> impl Iterator<Item = &Arc<Instance>> {
+    pub fn announced_primaries(&self, service: &str) -> impl Iterator<Item = &Arc<Instance>> {
         let denied = self
             .primaries
             .get(service)
@@ -146,7 +146,7 @@
 
     /// The instance that announces being primary, if it is the only one.
     pub(super) fn announced_primary(&self, service: &str) -> Option<InstanceId> {
-        let mut claimants = self.claimants(service);
+        let mut claimants = self.announced_primaries(service);
         let first = claimants.next()?;
         claimants.next().is_none().then(|| first.id.clone())
     }
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -60,7 +60,7 @@
     /// Instances that announce being primary of a service, of which at most one is.
     pub fn claimants(&self, service: &str) -> Vec<InstanceId> {
         let known = lock(&self.instances);
-        let claimants = known.directory.claimants(service);
+        let claimants = known.directory.announced_primaries(service);
         claimants.map(|instance| instance.id.clone()).collect()
     }
 
