--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -137,11 +137,11 @@
             }
             Role::Primary if belief.denied.contains(&id) => None,
             Role::Primary => {
-                let sole = self.announced_primary(&service);
+                let sole = self.sole_announced_primary(&service);
                 self.believe(&service, sole, PrimarySource::Announced)
             }
             Role::Replica if belief.current.as_ref() == Some(&id) => {
-                let other = self.announced_primary(&service);
+                let other = self.sole_announced_primary(&service);
                 self.believe(&service, other, PrimarySource::Announced)
             }
             Role::Replica => None,
--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -80,7 +80,7 @@
         if belief.current.as_ref() != Some(id) {
             return None;
         }
-        let other = self.announced_primary(&service);
+        let other = self.sole_announced_primary(&service);
         self.believe(&service, other, PrimarySource::Announced)
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// The instance that announces being primary, if it is the only one.
-    pub(super) fn announced_primary(&self, service: &str) -> Option<InstanceId> {
+    pub(super) fn sole_announced_primary(&self, service: &str) -> Option<InstanceId> {
         let mut claimants = self.announced_primaries(service);
         let first = claimants.next()?;
         claimants.next().is_none().then(|| first.id.clone())
