--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -73,7 +73,7 @@
     }
 
     /// An instance denied being primary.
-    pub fn deny_primary(&mut self, id: &InstanceId) -> Option<PrimaryChange> {
+    pub fn mark_not_primary(&mut self, id: &InstanceId) -> Option<PrimaryChange> {
         let service = self.instance(id)?.service.clone();
         let belief = self.primaries.entry(service.clone()).or_default();
         belief.deny(id);
--- a/crates/linkhold-core/tests/service_directory.rs
+++ b/crates/linkhold-core/tests/service_directory.rs
@@ -37,7 +37,7 @@
     directory.announce(ready("one", Role::Primary), now);
     directory.announce(ready("two", Role::Replica), now);
     assert_eq!(primary(&directory).as_deref(), Some("one"));
-    directory.deny_primary(&InstanceId("one".into()));
+    directory.mark_not_primary(&InstanceId("one".into()));
     assert_eq!(primary(&directory), None);
     directory.announce(ready("one", Role::Primary), now);
     assert_eq!(
@@ -55,11 +55,11 @@
     let mut directory = Directory::default();
     directory.announce(ready("one", Role::Primary), now);
     let one = InstanceId("one".into());
-    directory.deny_primary(&one);
+    directory.mark_not_primary(&one);
     directory.announce(ready("one", Role::Replica), now);
     directory.announce(ready("one", Role::Primary), now);
     assert_eq!(primary(&directory).as_deref(), Some("one"));
-    directory.deny_primary(&one);
+    directory.mark_not_primary(&one);
     directory.confirm_primary(&one, PrimarySource::Promoted);
     assert_eq!(primary(&directory).as_deref(), Some("one"));
 }
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -146,7 +146,7 @@
 
     /// An instance denied being primary.
     pub fn deny_primary(&self, id: &InstanceId) {
-        let change = lock(&self.instances).directory.deny_primary(id);
+        let change = lock(&self.instances).directory.mark_not_primary(id);
         self.after(change);
     }
 
