--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whether an instance is not believed to lead whatever it announces.
-    pub fn is_denied(&self, id: &InstanceId) -> bool {
+    pub fn is_marked_not_primary(&self, id: &InstanceId) -> bool {
         let service = self.instance(id).map(|instance| &instance.service);
         let belief = service.and_then(|service| self.primaries.get(service));
         belief.is_some_and(|belief| belief.denied.contains(id))
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -128,7 +128,7 @@
 
     /// Whether an instance is not believed to lead whatever it announces.
     pub fn is_denied(&self, id: &InstanceId) -> bool {
-        lock(&self.instances).directory.is_denied(id)
+        lock(&self.instances).directory.is_marked_not_primary(id)
     }
 
     /// Whether an instance is believed to lead for its announcement alone.
