--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -131,18 +131,18 @@
         match role {
             // It was a replica, and has been promoted since.
             Role::Primary if previous == Some(Role::Replica) => {
-                let change = self.believe(&service, Some(id.clone()), PrimarySource::Announced);
+                let change = self.set_primary(&service, Some(id.clone()), PrimarySource::Announced);
                 self.mark_primary_verified(&id);
                 change
             }
             Role::Primary if belief.denied.contains(&id) => None,
             Role::Primary => {
                 let sole = self.sole_announced_primary(&service);
-                self.believe(&service, sole, PrimarySource::Announced)
+                self.set_primary(&service, sole, PrimarySource::Announced)
             }
             Role::Replica if belief.current.as_ref() == Some(&id) => {
                 let other = self.sole_announced_primary(&service);
-                self.believe(&service, other, PrimarySource::Announced)
+                self.set_primary(&service, other, PrimarySource::Announced)
             }
             Role::Replica => None,
         }
--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -81,7 +81,7 @@
             return None;
         }
         let other = self.sole_announced_primary(&service);
-        self.believe(&service, other, PrimarySource::Announced)
+        self.set_primary(&service, other, PrimarySource::Announced)
     }
 
     /// An instance proved to be primary, or was promoted.
@@ -91,7 +91,7 @@
         source: PrimarySource,
     ) -> Option<PrimaryChange> {
         let service = self.instance(id)?.service.clone();
-        let change = self.believe(&service, Some(id.clone()), source);
+        let change = self.set_primary(&service, Some(id.clone()), source);
         self.mark_primary_verified(id);
         change
     }
@@ -151,7 +151,7 @@
         claimants.next().is_none().then(|| first.id.clone())
     }
 
-    pub(super) fn believe(
+    pub(super) fn set_primary(
         &mut self,
         service: &ServiceName,
         primary: Option<InstanceId>,
