--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -257,7 +257,7 @@
     }
 
     /// The directory could not be read.
-    pub fn disturbed(&mut self) {
+    pub fn record_read_failure(&mut self) {
         self.contact = Contact::Lost;
     }
 
--- a/crates/linkhold-core/tests/service_directory.rs
+++ b/crates/linkhold-core/tests/service_directory.rs
@@ -70,7 +70,7 @@
     let mut directory = Directory::default();
     directory.announce(ready("one", Role::Replica), start);
     let one = InstanceId("one".into());
-    directory.disturbed();
+    directory.record_read_failure();
     directory.mark_missing(&one, start + Duration::from_millis(100));
     let long_after = start + Duration::from_secs(60);
     assert!(!directory.is_leaving(&one, long_after), "it is not back");
@@ -91,7 +91,7 @@
     let mut directory = Directory::default();
     let both = vec![ready("one", Role::Primary), ready("two", Role::Replica)];
     directory.replace(both, Recency::Current, start);
-    directory.disturbed();
+    directory.record_read_failure();
     let back = start + Duration::from_secs(5);
     directory.replace(Vec::new(), Recency::Current, back);
     let [one, two] = ["one", "two"].map(|name| InstanceId(name.into()));
@@ -110,7 +110,7 @@
     let start = Instant::now();
     let mut directory = Directory::default();
     directory.replace(vec![ready("one", Role::Primary)], Recency::Current, start);
-    directory.disturbed();
+    directory.record_read_failure();
     directory.replace(Vec::new(), Recency::Current, start);
     assert!(directory.all(start + Directory::LAPSE / 2)[0].1);
     assert!(!directory.all(start + Directory::LAPSE * 2)[0].1);
@@ -180,7 +180,7 @@
     assert!(!directory.is_settled(start + Directory::LAPSE));
     let calm = start + Directory::LAPSE + Duration::from_millis(1);
     assert!(directory.is_settled(calm));
-    directory.disturbed();
+    directory.record_read_failure();
     assert!(!directory.is_settled(calm + Directory::LAPSE * 2));
     directory.read(calm);
     assert!(!directory.is_settled(calm + Directory::LAPSE));
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -174,7 +174,7 @@
         };
         let mut instances = lock(&self.instances);
         if is_copy {
-            instances.directory.disturbed();
+            instances.directory.record_read_failure();
         }
         let changes = instances.directory.replace(listed, currency, now);
         if self.has_replaced_nobody(now) {
@@ -259,7 +259,7 @@
 
     /// The directory could not be read.
     pub fn directory_disturbed(&self) {
-        lock(&self.instances).directory.disturbed();
+        lock(&self.instances).directory.record_read_failure();
     }
 
     /// The directory was read, by this node or the reader it follows.
