--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -212,7 +212,7 @@
         currency: Recency,
         now: Instant,
     ) -> Vec<PrimaryChange> {
-        self.read(now);
+        self.record_read(now);
         let ids: HashSet<InstanceId> = listed.iter().map(|instance| instance.id.clone()).collect();
         let missing: Vec<InstanceId> = self
             .entries
@@ -262,7 +262,7 @@
     }
 
     /// The directory was read, whether or not anything had changed.
-    pub fn read(&mut self, now: Instant) {
+    pub fn record_read(&mut self, now: Instant) {
         if self.contact == Contact::Lost {
             self.contact = Contact::Since(now);
         }
--- a/crates/linkhold-core/tests/service_directory.rs
+++ b/crates/linkhold-core/tests/service_directory.rs
@@ -74,7 +74,7 @@
     directory.mark_missing(&one, start + Duration::from_millis(100));
     let long_after = start + Duration::from_secs(60);
     assert!(!directory.is_leaving(&one, long_after), "it is not back");
-    directory.read(long_after);
+    directory.record_read(long_after);
     let soon = long_after + Directory::LAPSE - Duration::from_millis(1);
     assert!(!directory.is_leaving(&one, soon));
     let later = long_after + Directory::LAPSE + Duration::from_millis(1);
@@ -153,7 +153,7 @@
     let mut directory = Directory::default();
     directory.announce(ready("one", Role::Primary), start);
     directory.announce(ready("two", Role::Replica), start);
-    directory.read(start);
+    directory.record_read(start);
     let start = start + Directory::LAPSE;
     directory.replace(vec![ready("two", Role::Replica)], Recency::Current, start);
     let later = start + Duration::from_millis(1);
@@ -182,6 +182,6 @@
     assert!(directory.is_settled(calm));
     directory.record_read_failure();
     assert!(!directory.is_settled(calm + Directory::LAPSE * 2));
-    directory.read(calm);
+    directory.record_read(calm);
     assert!(!directory.is_settled(calm + Directory::LAPSE));
 }
--- a/crates/linkhold-core/tests/service_lives.rs
+++ b/crates/linkhold-core/tests/service_lives.rs
@@ -146,12 +146,12 @@
     let start = Instant::now();
     let mut directory = Directory::default();
     assert!(!directory.is_complete_as_of(start));
-    directory.read(start);
+    directory.record_read(start);
     assert!(!directory.is_complete_as_of(start + Directory::LAPSE - Duration::from_millis(1)));
     assert!(directory.is_complete_as_of(start + Directory::LAPSE));
     directory.record_read_failure();
     assert!(!directory.is_complete_as_of(start + Directory::LAPSE));
-    directory.read(start + Directory::LAPSE);
+    directory.record_read(start + Directory::LAPSE);
     assert!(!directory.is_complete_as_of(start + Directory::LAPSE));
     assert!(directory.is_complete_as_of(start + Directory::LAPSE * 2));
 }
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -265,7 +265,7 @@
     /// The directory was read, by this node or the reader it follows.
     pub fn directory_read(&self) {
         let now = Instant::now();
-        lock(&self.instances).directory.read(now);
+        lock(&self.instances).directory.record_read(now);
         *lock(&self.directory_read_at) = Some(now);
     }
 
