--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -98,7 +98,7 @@
         let role = instance.role;
         match self.lives.announce(&id) {
             IncarnationChange::Ended => return None,
-            IncarnationChange::Replaces(ended) => self.end_life(&ended, &id),
+            IncarnationChange::Replaces(ended) => self.end_incarnation(&ended, &id),
             IncarnationChange::Unchanged => {}
         }
         let known = self.entries.get(&id);
@@ -175,7 +175,7 @@
 
     /// A life of an instance has ended, and another one has begun. Neither is believed to
     /// lead for what it announces.
-    fn end_life(&mut self, ended: &InstanceId, begun: &InstanceId) {
+    fn end_incarnation(&mut self, ended: &InstanceId, begun: &InstanceId) {
         let Some(entry) = self.remove(ended) else {
             return;
         };
