--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -110,7 +110,7 @@
 impl Permission {
     /// The store confirmed a renewal that was sent at a moment. A node without a
     /// permission has none before [`Permission::admitted`].
-    pub fn renewed(&mut self, sent_at: Instant, now: Instant) -> RenewalOutcome {
+    pub fn record_renewal(&mut self, sent_at: Instant, now: Instant) -> RenewalOutcome {
         if !self.holds(now) {
             return RenewalOutcome::NeedsAdmission;
         }
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -26,7 +26,7 @@
 fn listed(start: Instant) -> Permission {
     let mut permission = Permission::default();
     assert_eq!(
-        permission.renewed(start, start),
+        permission.record_renewal(start, start),
         RenewalOutcome::NeedsAdmission
     );
     permission.admitted(start, &[], start);
@@ -59,7 +59,7 @@
     let mut permission = listed(start);
     let back = start + ROW_EXPIRY;
     assert_eq!(
-        permission.renewed(back, back),
+        permission.record_renewal(back, back),
         RenewalOutcome::NeedsAdmission
     );
     assert!(!permission.holds(back));
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -20,7 +20,7 @@
 impl OwnPermission {
     /// The store confirmed a renewal that was sent at a moment.
     pub fn renewed(&self, sent_at: Instant) -> RenewalOutcome {
-        lock(&self.permission).renewed(sent_at, Instant::now())
+        lock(&self.permission).record_renewal(sent_at, Instant::now())
     }
 
     /// This node was listed by a renewal that was sent at a moment, and has learnt
