--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -109,7 +109,7 @@
 
 impl Permission {
     /// The store confirmed a renewal that was sent at a moment. A node without a
-    /// permission has none before [`Permission::admitted`].
+    /// permission has none before [`Permission::admit`].
     pub fn record_renewal(&mut self, sent_at: Instant, now: Instant) -> RenewalOutcome {
         if !self.holds(now) {
             return RenewalOutcome::NeedsAdmission;
@@ -120,7 +120,7 @@
 
     /// The node is listed by a renewal that was sent at a moment, and has read which
     /// leases are claimed since.
-    pub fn admitted(&mut self, sent_at: Instant, claims: &[RecentClaim], now: Instant) {
+    pub fn admit(&mut self, sent_at: Instant, claims: &[RecentClaim], now: Instant) {
         if self.listing.renewed_at().is_some() {
             self.regained_at = Some(now);
         }
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -29,7 +29,7 @@
         permission.record_renewal(start, start),
         RenewalOutcome::NeedsAdmission
     );
-    permission.admitted(start, &[], start);
+    permission.admit(start, &[], start);
     permission
 }
 
@@ -68,7 +68,7 @@
         successor: Some(InstanceId("two".into())),
         age: milliseconds(1_000),
     };
-    permission.admitted(back, &[claim], back);
+    permission.admit(back, &[claim], back);
     let two = InstanceId("two".into());
     assert!(permission.covers("other", &one(), back, Some(back)));
     assert!(!permission.covers(SERVICE, &one(), back, Some(back)));
@@ -95,7 +95,7 @@
             successor,
             age,
         };
-        permission.admitted(start, &[claim], start);
+        permission.admit(start, &[claim], start);
         assert!(permission.covers(SERVICE, &one(), start, Some(start)));
     }
     assert!(LEASE < CLAIM_EFFECT_PERIOD);
@@ -289,7 +289,7 @@
     let mut permission = listed(start);
     assert!(permission.covers(SERVICE, &one(), start, None));
     let back = start + ROW_EXPIRY;
-    permission.admitted(back, &[], back);
+    permission.admit(back, &[], back);
     assert!(!permission.covers(SERVICE, &one(), back, None));
     assert!(!permission.covers(SERVICE, &one(), back, Some(back - milliseconds(1))));
     assert!(permission.covers(SERVICE, &one(), back, Some(back)));
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -30,7 +30,7 @@
         let mut permission = lock(&self.permission);
         let held = permission.holds(now);
         let age = age_ms(&permission, now);
-        permission.admitted(sent_at, claims, now);
+        permission.admit(sent_at, claims, now);
         if !held {
             Event::info("permission_gained")
                 .field("sent_ms_ago", sent_at.elapsed().as_millis())
