--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -138,7 +138,7 @@
     /// Enough of the nodes that this one knows confirmed, to a question that was sent at
     /// a moment, that they have agreed to no replacement. A permission that had
     /// run out by then does not come back.
-    pub fn confirmed(&mut self, asked_at: Instant) {
+    pub fn record_confirmation(&mut self, asked_at: Instant) {
         let Some(renewed_at) = self.listing.renewed_at() else {
             return;
         };
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -107,17 +107,17 @@
     let mut permission = listed(start);
     let mut asked_at = start + LISTING_VALIDITY - milliseconds(1);
     while permission.holds(asked_at) {
-        permission.confirmed(asked_at);
+        permission.record_confirmation(asked_at);
         asked_at += CONFIRMATION_VALIDITY - milliseconds(1);
     }
     let last = start + LISTING_VALIDITY + EXPIRED_NODE_PERIOD;
     assert_eq!(permission.until(), Some(last));
     assert!(last < start + ROW_EXPIRY + EXPIRED_NODE_PERIOD);
     // What has run out does not come back.
-    permission.confirmed(last);
+    permission.record_confirmation(last);
     assert!(!permission.holds(last));
     let mut gap = listed(start);
-    gap.confirmed(start + LISTING_VALIDITY);
+    gap.record_confirmation(start + LISTING_VALIDITY);
     assert!(!gap.holds(start + LISTING_VALIDITY));
 }
 
@@ -207,7 +207,7 @@
             let confirming = confirming_far + if confirms_near { near - 1 } else { 0 };
             for node in &far {
                 if confirmations_needed(NODES).is_some_and(|needed| confirming >= needed) {
-                    permissions[*node].confirmed(at(now));
+                    permissions[*node].record_confirmation(at(now));
                 }
             }
         }
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -44,7 +44,7 @@
     /// moment, and has agreed to nothing but `agreed`.
     pub fn confirmed(&self, asked_at: Instant, agreed: &[String]) {
         if self.knows(agreed) {
-            lock(&self.permission).confirmed(asked_at);
+            lock(&self.permission).record_confirmation(asked_at);
         }
     }
 
