--- a/crates/linkhold-core/src/service/listing.rs
+++ b/crates/linkhold-core/src/service/listing.rs
@@ -36,13 +36,13 @@
     }
 
     /// Until when the node certainly counts; `None` if it was never listed.
-    pub fn until(&self) -> Option<Instant> {
+    pub fn valid_until(&self) -> Option<Instant> {
         self.renewed_at.map(|at| at + LISTING_VALIDITY)
     }
 
     /// Whether the node certainly counts at a moment.
     pub fn holds(&self, moment: Instant) -> bool {
-        self.until().is_some_and(|until| moment < until)
+        self.valid_until().is_some_and(|until| moment < until)
     }
 }
 
--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -150,13 +150,13 @@
     }
 
     /// Until when the node may go on; `None` if it never might.
-    pub fn until(&self) -> Option<Instant> {
-        self.listing.until().max(self.confirmed_until)
+    pub fn valid_until(&self) -> Option<Instant> {
+        self.listing.valid_until().max(self.confirmed_until)
     }
 
     /// Whether the node may speak for primaries at a moment.
     pub fn holds(&self, moment: Instant) -> bool {
-        self.until().is_some_and(|until| moment < until)
+        self.valid_until().is_some_and(|until| moment < until)
     }
 
     /// Whether the node may speak at a moment for an instance as the primary of a
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -111,7 +111,7 @@
         asked_at += CONFIRMATION_VALIDITY - milliseconds(1);
     }
     let last = start + LISTING_VALIDITY + EXPIRED_NODE_PERIOD;
-    assert_eq!(permission.until(), Some(last));
+    assert_eq!(permission.valid_until(), Some(last));
     assert!(last < start + ROW_EXPIRY + EXPIRED_NODE_PERIOD);
     // What has run out does not come back.
     permission.record_confirmation(last);
