--- a/crates/linkhold-core/src/service/listing.rs
+++ b/crates/linkhold-core/src/service/listing.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether the node certainly counts at a moment.
-    pub fn holds(&self, moment: Instant) -> bool {
+    pub fn is_valid(&self, moment: Instant) -> bool {
         self.valid_until().is_some_and(|until| moment < until)
     }
 }
--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -111,7 +111,7 @@
     /// The store confirmed a renewal that was sent at a moment. A node without a
     /// permission has none before [`Permission::admit`].
     pub fn record_renewal(&mut self, sent_at: Instant, now: Instant) -> RenewalOutcome {
-        if !self.holds(now) {
+        if !self.is_valid(now) {
             return RenewalOutcome::NeedsAdmission;
         }
         self.listing.confirmed(sent_at);
@@ -142,7 +142,7 @@
         let Some(renewed_at) = self.listing.renewed_at() else {
             return;
         };
-        if !self.holds(asked_at) {
+        if !self.is_valid(asked_at) {
             return;
         }
         let until = (asked_at + CONFIRMATION_VALIDITY).min(renewed_at + LONGEST_UNLISTED);
@@ -155,7 +155,7 @@
     }
 
     /// Whether the node may speak for primaries at a moment.
-    pub fn holds(&self, moment: Instant) -> bool {
+    pub fn is_valid(&self, moment: Instant) -> bool {
         self.valid_until().is_some_and(|until| moment < until)
     }
 
@@ -174,13 +174,13 @@
         let bar = self.bars.get(service);
         let is_barred = bar.is_some_and(|bar| !is_over(bar) && bar.successor != *instance);
         let knows_what_it_missed = self.regained_at.is_none_or(has_heard);
-        self.holds(moment) && knows_what_it_missed && !is_barred
+        self.is_valid(moment) && knows_what_it_missed && !is_barred
     }
 
     /// Whether the node is to have others confirm that it may go on.
     pub fn needs_confirmation(&self, now: Instant) -> bool {
         let is_old = |renewed_at: Instant| now >= renewed_at + CONFIRMATION_START_AGE;
-        self.holds(now) && self.listing.renewed_at().is_some_and(is_old)
+        self.is_valid(now) && self.listing.renewed_at().is_some_and(is_old)
     }
 
     /// What the node knows of its own registration.
--- a/crates/linkhold-core/tests/service_listing.rs
+++ b/crates/linkhold-core/tests/service_listing.rs
@@ -9,10 +9,10 @@
 fn a_listing_counts_from_before_its_renewal_was_sent() {
     let sent_at = Instant::now();
     let mut listing = Listing::default();
-    assert!(!listing.holds(sent_at));
+    assert!(!listing.is_valid(sent_at));
     listing.confirmed(sent_at);
-    assert!(listing.holds(sent_at + LISTING_VALIDITY - Duration::from_millis(1)));
-    assert!(!listing.holds(sent_at + LISTING_VALIDITY));
+    assert!(listing.is_valid(sent_at + LISTING_VALIDITY - Duration::from_millis(1)));
+    assert!(!listing.is_valid(sent_at + LISTING_VALIDITY));
     // An answer that comes late does not take back what is known.
     listing.confirmed(sent_at - Duration::from_secs(1));
     assert_eq!(listing.renewed_at(), Some(sent_at));
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -62,7 +62,7 @@
         permission.record_renewal(back, back),
         RenewalOutcome::NeedsAdmission
     );
-    assert!(!permission.holds(back));
+    assert!(!permission.is_valid(back));
     let claim = RecentClaim {
         service: SERVICE.into(),
         successor: Some(InstanceId("two".into())),
@@ -106,7 +106,7 @@
     let start = Instant::now();
     let mut permission = listed(start);
     let mut asked_at = start + LISTING_VALIDITY - milliseconds(1);
-    while permission.holds(asked_at) {
+    while permission.is_valid(asked_at) {
         permission.record_confirmation(asked_at);
         asked_at += CONFIRMATION_VALIDITY - milliseconds(1);
     }
@@ -115,10 +115,10 @@
     assert!(last < start + ROW_EXPIRY + EXPIRED_NODE_PERIOD);
     // What has run out does not come back.
     permission.record_confirmation(last);
-    assert!(!permission.holds(last));
+    assert!(!permission.is_valid(last));
     let mut gap = listed(start);
     gap.record_confirmation(start + LISTING_VALIDITY);
-    assert!(!gap.holds(start + LISTING_VALIDITY));
+    assert!(!gap.is_valid(start + LISTING_VALIDITY));
 }
 
 #[test]
@@ -197,7 +197,7 @@
         let age = |node: &usize| milliseconds(now).saturating_sub(milliseconds(run.renewed[*node]));
         if now % run.pause < 50 {
             // Those of a side that may speak themselves confirm to each other.
-            let may_speak = |node: &&usize| permissions[**node].holds(at(now));
+            let may_speak = |node: &&usize| permissions[**node].is_valid(at(now));
             let confirming_far = match without {
                 Without::OwnPermission => far.len(),
                 _ => far.iter().filter(may_speak).count(),
@@ -225,7 +225,7 @@
         if replaced_at.is_none() && agreed_at.is_some_and(|agreed| now >= agreed + wait) {
             replaced_at = Some(now);
         }
-        let speaks = far.iter().any(|node| permissions[*node].holds(at(now)));
+        let speaks = far.iter().any(|node| permissions[*node].is_valid(at(now)));
         if replaced_at.is_some() && speaks {
             return Some(now);
         }
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -28,7 +28,7 @@
     pub fn admitted(&self, sent_at: Instant, claims: &[RecentClaim]) {
         let now = Instant::now();
         let mut permission = lock(&self.permission);
-        let held = permission.holds(now);
+        let held = permission.is_valid(now);
         let age = age_ms(&permission, now);
         permission.admit(sent_at, claims, now);
         if !held {
@@ -61,7 +61,7 @@
 
     /// Whether this node may speak for primaries at all.
     pub fn holds(&self) -> bool {
-        lock(&self.permission).holds(Instant::now())
+        lock(&self.permission).is_valid(Instant::now())
     }
 
     /// Whether this node is to have others confirm that it may go on.
