--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -162,7 +162,7 @@
     /// Whether the node may speak at a moment for an instance as the primary of a
     /// service. `directory_as_of` is the last moment as of which it knows the instances:
     /// what was replaced while it had no permission, or was barred, it has to have heard.
-    pub fn covers(
+    pub fn may_acknowledge_for(
         &self,
         service: &str,
         instance: &InstanceId,
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -37,14 +37,14 @@
 fn a_permission_ends_before_the_node_may_be_left_out() {
     let start = Instant::now();
     let permission = listed(start);
-    assert!(!Permission::default().covers(SERVICE, &one(), start, Some(start)));
-    assert!(permission.covers(
+    assert!(!Permission::default().may_acknowledge_for(SERVICE, &one(), start, Some(start)));
+    assert!(permission.may_acknowledge_for(
         SERVICE,
         &one(),
         start + LISTING_VALIDITY - milliseconds(1),
         Some(start + LISTING_VALIDITY - milliseconds(1))
     ));
-    assert!(!permission.covers(
+    assert!(!permission.may_acknowledge_for(
         SERVICE,
         &one(),
         start + LISTING_VALIDITY,
@@ -70,18 +70,18 @@
     };
     permission.admit(back, &[claim], back);
     let two = InstanceId("two".into());
-    assert!(permission.covers("other", &one(), back, Some(back)));
-    assert!(!permission.covers(SERVICE, &one(), back, Some(back)));
+    assert!(permission.may_acknowledge_for("other", &one(), back, Some(back)));
+    assert!(!permission.may_acknowledge_for(SERVICE, &one(), back, Some(back)));
     // The successor leads: the replacement is over.
-    assert!(permission.covers(SERVICE, &two, back, Some(back)));
+    assert!(permission.may_acknowledge_for(SERVICE, &two, back, Some(back)));
     let over = back + CLAIM_EFFECT_PERIOD - milliseconds(1_000);
-    assert!(!permission.covers(
+    assert!(!permission.may_acknowledge_for(
         SERVICE,
         &one(),
         over - milliseconds(1),
         Some(over - milliseconds(1))
     ));
-    assert!(permission.covers(SERVICE, &one(), over, Some(over)));
+    assert!(permission.may_acknowledge_for(SERVICE, &one(), over, Some(over)));
 }
 
 #[test]
@@ -96,7 +96,7 @@
             age,
         };
         permission.admit(start, &[claim], start);
-        assert!(permission.covers(SERVICE, &one(), start, Some(start)));
+        assert!(permission.may_acknowledge_for(SERVICE, &one(), start, Some(start)));
     }
     assert!(LEASE < CLAIM_EFFECT_PERIOD);
 }
@@ -287,12 +287,12 @@
 fn a_node_that_comes_back_speaks_for_nobody_before_it_knows_the_instances() {
     let start = Instant::now();
     let mut permission = listed(start);
-    assert!(permission.covers(SERVICE, &one(), start, None));
+    assert!(permission.may_acknowledge_for(SERVICE, &one(), start, None));
     let back = start + ROW_EXPIRY;
     permission.admit(back, &[], back);
-    assert!(!permission.covers(SERVICE, &one(), back, None));
-    assert!(!permission.covers(SERVICE, &one(), back, Some(back - milliseconds(1))));
-    assert!(permission.covers(SERVICE, &one(), back, Some(back)));
+    assert!(!permission.may_acknowledge_for(SERVICE, &one(), back, None));
+    assert!(!permission.may_acknowledge_for(SERVICE, &one(), back, Some(back - milliseconds(1))));
+    assert!(permission.may_acknowledge_for(SERVICE, &one(), back, Some(back)));
 }
 
 #[test]
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -56,7 +56,7 @@
         directory_as_of: Option<Instant>,
     ) -> bool {
         let permission = lock(&self.permission);
-        permission.covers(&instance.service, &instance.id, moment, directory_as_of)
+        permission.may_acknowledge_for(&instance.service, &instance.id, moment, directory_as_of)
     }
 
     /// Whether this node may speak for primaries at all.
