--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -218,7 +218,7 @@
 
     /// Whether this node knows of all that another has agreed to: it agreed as well, so
     /// it speaks for nothing that is replaced.
-    pub fn include(&mut self, others: &[String], now: Instant) -> bool {
+    pub fn include_all(&mut self, others: &[String], now: Instant) -> bool {
         self.forget(now);
         others
             .iter()
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -130,9 +130,9 @@
     let told = consents.recent(start + CONSENT_RETENTION - milliseconds(1));
     assert_eq!(told, ["one"]);
     let mut other = Consents::default();
-    assert!(!other.include(&told, start));
+    assert!(!other.include_all(&told, start));
     other.agree("one", 1, start);
-    assert!(other.include(&told, start));
+    assert!(other.include_all(&told, start));
     assert!(consents.recent(start + CONSENT_RETENTION).is_empty());
     assert!(CONFIRMATION_VALIDITY * 2 < CONSENT_RETENTION);
 }
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -97,7 +97,7 @@
 
     /// Whether this node has agreed to all that others have.
     pub fn knows(&self, agreed: &[String]) -> bool {
-        lock(&self.consents).include(agreed, Instant::now())
+        lock(&self.consents).include_all(agreed, Instant::now())
     }
 
     /// How long ago the last renewal that the store confirmed was sent, in whole
