--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -261,7 +261,7 @@
 
 impl FleetSizes {
     /// The node sees so many nodes.
-    pub fn seen(&mut self, size: usize, now: Instant) {
+    pub fn record(&mut self, size: usize, now: Instant) {
         self.sizes
             .retain(|(known, until)| now < *until && *known > size);
         self.sizes
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -315,9 +315,9 @@
     let start = Instant::now();
     let (fleet, returned) = (71, 24);
     let mut sizes = FleetSizes::default();
-    sizes.seen(fleet, start);
+    sizes.record(fleet, start);
     let lost = start + ROW_EXPIRY;
-    sizes.seen(fleet - returned, lost);
+    sizes.record(fleet - returned, lost);
     let confirming = confirmations_needed(sizes.largest(lost + ROW_EXPIRY)).unwrap();
     let can_confirm = fleet - returned >= confirming;
     let can_agree = returned >= agreements_needed(fleet);
--- a/crates/linkhold-gateway/src/state/fleet.rs
+++ b/crates/linkhold-gateway/src/state/fleet.rs
@@ -362,7 +362,7 @@
             watchers.set_nodes(nodes.values());
         }
         let previous_size = view.size;
-        view.sizes.seen(size, Instant::now());
+        view.sizes.record(size, Instant::now());
         let has_changed =
             have_nodes_changed || view.readers != readers || view.is_settled != is_settled;
         view.size = size;
