--- a/crates/linkhold-core/src/service/listing.rs
+++ b/crates/linkhold-core/src/service/listing.rs
@@ -26,7 +26,7 @@
 
 impl Listing {
     /// The store confirmed a renewal that was sent at a moment.
-    pub fn confirmed(&mut self, sent_at: Instant) {
+    pub fn record_renewal(&mut self, sent_at: Instant) {
         self.renewed_at = self.renewed_at.max(Some(sent_at));
     }
 
--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -114,7 +114,7 @@
         if !self.is_valid(now) {
             return RenewalOutcome::NeedsAdmission;
         }
-        self.listing.confirmed(sent_at);
+        self.listing.record_renewal(sent_at);
         RenewalOutcome::Continued
     }
 
@@ -124,7 +124,7 @@
         if self.listing.renewed_at().is_some() {
             self.regained_at = Some(now);
         }
-        self.listing.confirmed(sent_at);
+        self.listing.record_renewal(sent_at);
         for claim in claims.iter().filter(|claim| claim.may_take_effect()) {
             let Some(successor) = claim.successor.clone() else {
                 continue;
--- a/crates/linkhold-core/tests/service_listing.rs
+++ b/crates/linkhold-core/tests/service_listing.rs
@@ -10,11 +10,11 @@
     let sent_at = Instant::now();
     let mut listing = Listing::default();
     assert!(!listing.is_valid(sent_at));
-    listing.confirmed(sent_at);
+    listing.record_renewal(sent_at);
     assert!(listing.is_valid(sent_at + LISTING_VALIDITY - Duration::from_millis(1)));
     assert!(!listing.is_valid(sent_at + LISTING_VALIDITY));
     // An answer that comes late does not take back what is known.
-    listing.confirmed(sent_at - Duration::from_secs(1));
+    listing.record_renewal(sent_at - Duration::from_secs(1));
     assert_eq!(listing.renewed_at(), Some(sent_at));
 }
 
