--- a/crates/linkhold-core/src/service/listing.rs
+++ b/crates/linkhold-core/src/service/listing.rs
@@ -86,7 +86,7 @@
 
     /// A renewal is confirmed, and with it those before it; when it was sent, if it is
     /// one of this stream.
-    pub fn confirmed(&mut self, number: u64) -> Option<Instant> {
+    pub fn confirm(&mut self, number: u64) -> Option<Instant> {
         let index = self.sent.iter().position(|(sent, _)| *sent == number)?;
         let (_, sent_at) = self.sent[index];
         self.sent.drain(..=index);
--- a/crates/linkhold-core/tests/service_listing.rs
+++ b/crates/linkhold-core/tests/service_listing.rs
@@ -33,11 +33,11 @@
     let at = |seconds: u64| start + Duration::from_secs(seconds);
     let mut renewals = SentRenewals::starting_at(u64::MAX - 1);
     let numbers: Vec<u64> = (0..4).map(|second| renewals.send(at(second))).collect();
-    assert_eq!(renewals.confirmed(numbers[1]), Some(at(1)));
+    assert_eq!(renewals.confirm(numbers[1]), Some(at(1)));
     // What came before it is confirmed with it.
-    assert_eq!(renewals.confirmed(numbers[0]), None);
-    assert_eq!(renewals.confirmed(numbers[3]), Some(at(3)));
-    assert_eq!(renewals.confirmed(numbers[2]), None);
+    assert_eq!(renewals.confirm(numbers[0]), None);
+    assert_eq!(renewals.confirm(numbers[3]), Some(at(3)));
+    assert_eq!(renewals.confirm(numbers[2]), None);
     // A number of another stream confirms nothing.
-    assert_eq!(renewals.confirmed(77), None);
+    assert_eq!(renewals.confirm(77), None);
 }
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -236,7 +236,7 @@
 
     /// The reader has a row written that lists this node.
     fn listed(&self, number: u64, claims: Option<Vec<RecentClaim>>) -> Result<(), Lost> {
-        let Some(sent_at) = lock(self.renewals).confirmed(number) else {
+        let Some(sent_at) = lock(self.renewals).confirm(number) else {
             return Ok(());
         };
         let permission = &self.gateway.beliefs.permission;
@@ -253,7 +253,7 @@
 
     /// Enough nodes confirmed to the reader that it may go on.
     fn confirmed(&self, number: u64, agreed: &[String]) {
-        if let Some(sent_at) = lock(self.renewals).confirmed(number) {
+        if let Some(sent_at) = lock(self.renewals).confirm(number) {
             self.gateway.beliefs.permission.confirmed(sent_at, agreed);
         }
     }
