--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -134,7 +134,7 @@
 /// A lease to hold ready, so that a promotion needs no store where the
 /// authority itself refuses old tokens; `None` if there is nothing to claim.
 /// Only a lease whose holder is gone is taken over.
-pub fn hold_ready(
+pub fn claim_in_advance(
     current: Option<&FailoverLease>,
     node: &str,
     is_in_fleet: impl FnOnce(&str) -> bool,
--- a/crates/linkhold-core/tests/service_eras.rs
+++ b/crates/linkhold-core/tests/service_eras.rs
@@ -7,7 +7,7 @@
     EvacuationChange, Evacuations, LOST_EVACUATION_PERIOD, ZoneName, ZoneState,
 };
 use linkhold_core::service::failover::{
-    ClaimDecision, ClaimTime, FailoverLease, LEASE, claim, era_of_token, hold_ready,
+    ClaimDecision, ClaimTime, FailoverLease, LEASE, claim, claim_in_advance, era_of_token,
 };
 use linkhold_core::service::instance::InstanceId;
 use linkhold_core::service::store_revision::{Era, StoreRevision};
@@ -97,12 +97,12 @@
         now: 100_000,
         era: Era(era),
     };
-    let held = hold_ready(None, "a", |_| true, time(1)).unwrap();
+    let held = claim_in_advance(None, "a", |_| true, time(1)).unwrap();
     let later = ClaimTime {
         now: time(2).now + milliseconds(LEASE),
         ..time(2)
     };
-    let renewed = hold_ready(Some(&held), "a", |_| true, later).unwrap();
+    let renewed = claim_in_advance(Some(&held), "a", |_| true, later).unwrap();
     assert!(renewed.token > held.token);
 }
 
--- a/crates/linkhold-core/tests/service_failover.rs
+++ b/crates/linkhold-core/tests/service_failover.rs
@@ -5,7 +5,7 @@
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::failover::{
     ClaimDecision, ClaimTime, FailoverLease, InstanceStatus, LEASE, ReachabilityTally, Successor,
-    choose_successor, claim, hold_ready, is_current, may_hand_over, statuses_required,
+    choose_successor, claim, claim_in_advance, is_current, may_hand_over, statuses_required,
     switchover_candidates,
 };
 use linkhold_core::service::instance::{InstanceId, Role};
@@ -52,7 +52,7 @@
             now += pause;
             let node = format!("node-{node}");
             if successor == 0 {
-                if let Some(lease) = hold_ready(current.as_ref(), &node, |_| false, at(now)) {
+                if let Some(lease) = claim_in_advance(current.as_ref(), &node, |_| false, at(now)) {
                     current = Some(lease);
                 }
                 continue;
@@ -80,18 +80,18 @@
 
 #[test]
 fn a_lease_held_ready_promotes_one_successor_and_is_taken_over_from_the_gone_only() {
-    let lease = hold_ready(None, "node-1", |_| true, at(1_000)).unwrap();
+    let lease = claim_in_advance(None, "node-1", |_| true, at(1_000)).unwrap();
     assert_eq!(lease.token, 1);
     let later = 1_000 + LEASE.as_millis() as u64;
     assert_eq!(
-        hold_ready(Some(&lease), "node-2", |_| true, at(later)),
+        claim_in_advance(Some(&lease), "node-2", |_| true, at(later)),
         None
     );
     assert_eq!(
-        hold_ready(Some(&lease), "node-2", |_| false, at(later - 1)),
+        claim_in_advance(Some(&lease), "node-2", |_| false, at(later - 1)),
         None
     );
-    let taken = hold_ready(Some(&lease), "node-2", |_| false, at(later)).unwrap();
+    let taken = claim_in_advance(Some(&lease), "node-2", |_| false, at(later)).unwrap();
     assert_eq!((taken.holder.as_str(), taken.token), ("node-2", 2));
     let ClaimDecision::Write(used) = claim(Some(&lease), "node-1", &id("a"), at(later)) else {
         panic!("its own lease");
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -263,7 +263,7 @@
         return Ok(true);
     }
     let node = &gateway.settings.node;
-    let unused = || failover::hold_ready(None, node, |_| false, read.read_at);
+    let unused = || failover::claim_in_advance(None, node, |_| false, read.read_at);
     let Some(lease) = read.lease.clone().or_else(unused) else {
         return Ok(false);
     };
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -138,7 +138,7 @@
         }
         let (current, record) = current.flatten().unzip();
         let is_in_fleet = |holder: &str| gateway.fleet.knows(holder);
-        let lease = failover::hold_ready(current.as_ref(), node, is_in_fleet, time);
+        let lease = failover::claim_in_advance(current.as_ref(), node, is_in_fleet, time);
         new.extend(lease.map(|lease| NewLease {
             service: service.clone(),
             lease,
