--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -281,7 +281,7 @@
 
 /// Whether a candidate may be promoted at all: one whose log ends in an older
 /// term than was seen acknowledged would undo all of that term.
-pub fn is_current(candidate: &InstanceStatus, newest_evidence: Option<Position>) -> bool {
+pub fn has_current_term(candidate: &InstanceStatus, newest_evidence: Option<Position>) -> bool {
     newest_evidence.is_none_or(|newest| candidate.received.term >= newest.term)
 }
 
--- a/crates/linkhold-core/tests/service_failover.rs
+++ b/crates/linkhold-core/tests/service_failover.rs
@@ -5,7 +5,7 @@
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::failover::{
     ClaimDecision, ClaimTime, FailoverLease, InstanceStatus, LEASE, ReachabilityTally, Successor,
-    choose_successor, claim, claim_in_advance, is_current, may_hand_over, statuses_required,
+    choose_successor, claim, claim_in_advance, has_current_term, may_hand_over, statuses_required,
     switchover_candidates,
 };
 use linkhold_core::service::instance::{InstanceId, Role};
@@ -167,9 +167,9 @@
 #[test]
 fn a_log_of_an_older_term_than_was_proved_is_not_promoted() {
     let old = candidate("a", Position::new(1, 900), false).status;
-    assert!(is_current(&old, None));
-    assert!(is_current(&old, Some(Position::new(1, 950))));
-    assert!(!is_current(&old, Some(Position::new(2, 10))));
+    assert!(has_current_term(&old, None));
+    assert!(has_current_term(&old, Some(Position::new(1, 950))));
+    assert!(!has_current_term(&old, Some(Position::new(2, 10))));
 }
 
 #[test]
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -284,7 +284,7 @@
     let candidates: Vec<Successor> = situation
         .statuses
         .iter()
-        .filter(|status| failover::is_current(status, evidence))
+        .filter(|status| failover::has_current_term(status, evidence))
         .map(|status| Successor {
             status: status.clone(),
             is_leaving: gateway.beliefs.is_leaving(&status.id, now),
