--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -274,7 +274,7 @@
     /// It is leaving, so it is taken only if no other is left.
     pub is_leaving: bool,
     /// It stands where a primary of its service should.
-    pub is_well_placed: bool,
+    pub is_in_primary_region: bool,
     /// It may get any number of requests.
     pub is_warm: bool,
 }
@@ -333,7 +333,7 @@
 fn rank(candidate: &Successor) -> Rank<'_> {
     (
         candidate.status.received,
-        candidate.is_well_placed,
+        candidate.is_in_primary_region,
         candidate.is_warm,
         !candidate.is_leaving,
         std::cmp::Reverse(&candidate.status.id),
--- a/crates/linkhold-core/tests/service_failover.rs
+++ b/crates/linkhold-core/tests/service_failover.rs
@@ -32,7 +32,7 @@
             received,
         },
         is_leaving,
-        is_well_placed: true,
+        is_in_primary_region: true,
         is_warm: true,
     }
 }
@@ -197,7 +197,7 @@
         index,
     };
     let mut misplaced = candidate("a", at(8), false);
-    misplaced.is_well_placed = false;
+    misplaced.is_in_primary_region = false;
     let equal = [misplaced.clone(), candidate("b", at(8), false)];
     let chosen = choose_successor(&equal, 0).unwrap();
     assert_eq!(chosen.status.id, id("b"));
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -288,11 +288,11 @@
         .map(|status| Successor {
             status: status.clone(),
             is_leaving: gateway.beliefs.is_leaving(&status.id, now),
-            is_well_placed: is_well_placed(gateway, &status.id),
+            is_in_primary_region: is_well_placed(gateway, &status.id),
             is_warm: !gateway.beliefs.is_cold(&status.id),
         })
         // A primary that serves is replaced only by one that is to stay.
-        .filter(|it| trouble != Trouble::Misplaced || it.is_well_placed && !it.is_leaving)
+        .filter(|it| trouble != Trouble::Misplaced || it.is_in_primary_region && !it.is_leaving)
         .collect();
     let candidates = match trouble {
         Trouble::Leaving | Trouble::Misplaced => {
