--- a/crates/linkhold-core/src/service/withholding.rs
+++ b/crates/linkhold-core/src/service/withholding.rs
@@ -89,12 +89,17 @@
     /// Whether this holds for any instance.
     pub fn withholds_any(&self, now: Instant, directory_as_of: Option<Instant>) -> bool {
         let mut ids = self.agreed_at.keys();
-        ids.any(|id| self.holds(id, now, directory_as_of))
+        ids.any(|id| self.is_withheld(id, now, directory_as_of))
     }
 
     /// Whether nothing of an instance may be acknowledged. `directory_as_of` is the last
     /// moment as of which the list of instances is known.
-    pub fn holds(&self, id: &InstanceId, now: Instant, directory_as_of: Option<Instant>) -> bool {
+    pub fn is_withheld(
+        &self,
+        id: &InstanceId,
+        now: Instant,
+        directory_as_of: Option<Instant>,
+    ) -> bool {
         let Some(agreed_at) = self.agreed_at.get(id).and_then(|it| it.values().max()) else {
             return false;
         };
--- a/crates/linkhold-core/tests/service_withholding.rs
+++ b/crates/linkhold-core/tests/service_withholding.rs
@@ -16,7 +16,7 @@
     let [one, two] = ["one", "two"].map(|name| InstanceId(name.into()));
     let mut withholdings = Withholdings::default();
     let holds = |withholdings: &Withholdings, id: &InstanceId, moment: Instant| {
-        withholdings.holds(id, moment, Some(now + KNOWN_LATER))
+        withholdings.is_withheld(id, moment, Some(now + KNOWN_LATER))
     };
     assert!(!holds(&withholdings, &one, now));
     withholdings.agree(&one, 1, now);
@@ -35,8 +35,8 @@
     let later = now + WITHHOLDING_PERIOD / 2;
     withholdings.agree(&one, 2, later);
     let known = Some(now + KNOWN_LATER);
-    assert!(withholdings.holds(&one, now + WITHHOLDING_PERIOD, known));
-    assert!(!withholdings.holds(&one, later + WITHHOLDING_PERIOD, known));
+    assert!(withholdings.is_withheld(&one, now + WITHHOLDING_PERIOD, known));
+    assert!(!withholdings.is_withheld(&one, later + WITHHOLDING_PERIOD, known));
 }
 
 /// Time alone tells nothing of whether the promotion took effect.
@@ -47,9 +47,9 @@
     let mut withholdings = Withholdings::default();
     withholdings.agree(&one, 1, now);
     let later = now + WITHHOLDING_PERIOD * 10;
-    assert!(withholdings.holds(&one, later, None));
-    assert!(withholdings.holds(&one, later, Some(now + WITHHOLDING_PERIOD)));
-    assert!(!withholdings.holds(&one, later, Some(now + KNOWN_LATER)));
+    assert!(withholdings.is_withheld(&one, later, None));
+    assert!(withholdings.is_withheld(&one, later, Some(now + WITHHOLDING_PERIOD)));
+    assert!(!withholdings.is_withheld(&one, later, Some(now + KNOWN_LATER)));
 }
 
 /// Whoever was asked counts from later than whoever asked: an order within its
@@ -70,10 +70,10 @@
     withholdings.agree(&one, 1, now);
     withholdings.agree(&one, 2, now);
     assert!(withholdings.release(1));
-    assert!(withholdings.holds(&one, now, None));
+    assert!(withholdings.is_withheld(&one, now, None));
     assert!(!withholdings.release(1));
     assert!(withholdings.release(2));
-    assert!(!withholdings.holds(&one, now, None));
+    assert!(!withholdings.is_withheld(&one, now, None));
 }
 
 /// A node that takes long to answer agrees after it was told that nothing is ordered.
@@ -84,5 +84,5 @@
     let mut withholdings = Withholdings::default();
     withholdings.release(1);
     withholdings.agree(&one, 1, now);
-    assert!(!withholdings.holds(&one, now, None));
+    assert!(!withholdings.is_withheld(&one, now, None));
 }
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -86,7 +86,7 @@
     fn may_use_primary(&self, known: &InstanceBeliefs, primary: &Instance, now: Instant) -> bool {
         let is_withheld = known
             .withholdings
-            .holds(&primary.id, now, known.directory_as_of);
+            .is_withheld(&primary.id, now, known.directory_as_of);
         !is_withheld && self.permission.covers(primary, now, known.directory_as_of)
     }
 
@@ -123,7 +123,7 @@
         let known = lock(&self.instances);
         known
             .withholdings
-            .holds(id, Instant::now(), known.directory_as_of)
+            .is_withheld(id, Instant::now(), known.directory_as_of)
     }
 
     /// Whether an instance is not believed to lead whatever it announces.
