--- a/crates/linkhold-core/src/service/evidence.rs
+++ b/crates/linkhold-core/src/service/evidence.rs
@@ -67,7 +67,7 @@
 
     /// A primary's log was proved to end in a term, as is known from elsewhere; what was
     /// observed in an older one proves nothing any more.
-    pub fn term_proved(&mut self, term: Term) {
+    pub fn record_proved_term(&mut self, term: Term) {
         if Some(term) > self.newest_term {
             self.newest_term = Some(term);
             self.samples.clear();
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -462,7 +462,7 @@
         self.term_seen(service, term);
         let mut instances = lock(&self.instances);
         let evidence = instances.evidence.entry(service.clone()).or_default();
-        evidence.term_proved(term);
+        evidence.record_proved_term(term);
     }
 
     /// Waits until there are terms that the store is to keep.
