--- a/crates/linkhold-core/src/service/reader_search.rs
+++ b/crates/linkhold-core/src/service/reader_search.rs
@@ -92,7 +92,7 @@
 
     /// A reader was of no use. `draw`, uniform between 0 and 1, spreads the looks
     /// of nodes that lose their readers together.
-    pub fn reader_failed(&mut self, situation: &SearchSituation, draw: f64) {
+    pub fn record_reader_failure(&mut self, situation: &SearchSituation, draw: f64) {
         self.failed += 1;
         self.look_at.get_or_insert_with(|| {
             let untrusted_at = situation.trusted_until.max(situation.now);
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -112,7 +112,7 @@
         };
         let draw = self.random.random();
         let situation = self.situation();
-        self.search.reader_failed(&situation, draw);
+        self.search.record_reader_failure(&situation, draw);
     }
 }
 
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -161,7 +161,8 @@
             self.search = ReaderSearch::default();
         } else {
             let situation = self.situation(gateway);
-            self.search.reader_failed(&situation, rand::random());
+            self.search
+                .record_reader_failure(&situation, rand::random());
         }
         sleep(RECONNECT_PAUSE.mul_f64(rand::random_range(0.5..1.5))).await;
     }
