--- a/crates/linkhold-core/src/service/reader_search.rs
+++ b/crates/linkhold-core/src/service/reader_search.rs
@@ -101,7 +101,12 @@
     }
 
     /// The store answered a look, or did not; `draw` spreads the next one.
-    pub fn looked(&mut self, has_answered: bool, situation: &SearchSituation, draw: f64) {
+    pub fn record_store_check(
+        &mut self,
+        has_answered: bool,
+        situation: &SearchSituation,
+        draw: f64,
+    ) {
         if has_answered {
             self.confirmed_at = Some(situation.now + situation.time_to_search());
             return;
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -87,7 +87,7 @@
                     let draw = self.random.random();
                     let answered = store_answers(self.now);
                     let situation = self.situation();
-                    self.search.looked(answered, &situation, draw);
+                    self.search.record_store_check(answered, &situation, draw);
                 }
                 (Step::Follow | Step::Stay(_), Reader::Fresh) => return Some(End::Followed),
                 (Step::Stay(until), Reader::Stale) => self.stay(index, until, &reader),
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -176,7 +176,7 @@
         }
         let situation = self.situation(gateway);
         self.search
-            .looked(looked.is_ok(), &situation, rand::random());
+            .record_store_check(looked.is_ok(), &situation, rand::random());
     }
 
     async fn read_alone<P: Platform>(&mut self, gateway: &Gateway<P>) {
