--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -39,7 +39,7 @@
 pub struct Freshness {
     /// How long the store holds a reader's question for changes: the usual age
     /// of its last answer, at the most.
-    pub wait: Duration,
+    pub long_poll: Duration,
     /// The same for a node that nobody follows: a question that hangs is found
     /// out and asked again within the bound.
     pub wait_alone: Duration,
@@ -73,10 +73,12 @@
     /// The longer it is, the fewer questions the store is asked.
     pub fn for_bound(change_bound: Duration) -> Self {
         let trust = (change_bound * TRUST_PERCENT / 100).clamp(LEAST_TRUST, MOST_TRUST);
-        let wait = trust - TRUST_MARGIN;
+        let long_poll = trust - TRUST_MARGIN;
         Self {
-            wait,
-            wait_alone: change_bound.saturating_sub(ALONE_MARGIN).clamp(wait, trust),
+            long_poll,
+            wait_alone: change_bound
+                .saturating_sub(ALONE_MARGIN)
+                .clamp(long_poll, trust),
             trust,
             search: change_bound.saturating_sub(trust) * SEARCH_PERCENT / 100,
         }
--- a/crates/linkhold-core/tests/service_readers.rs
+++ b/crates/linkhold-core/tests/service_readers.rs
@@ -39,11 +39,11 @@
         let other_source = Duration::from_millis(1_000);
         let beat = Duration::from_millis(500);
         assert!(freshness.trust + other_source <= bound, "{bound:?}");
-        assert!(freshness.wait + beat < freshness.trust, "{bound:?}");
+        assert!(freshness.long_poll + beat < freshness.trust, "{bound:?}");
     }
     let strictest = Freshness::for_bound(Duration::from_secs(3));
-    assert_eq!(strictest.wait, Duration::from_secs(1));
-    assert!(Freshness::for_bound(Duration::from_secs(6)).wait > strictest.wait);
+    assert_eq!(strictest.long_poll, Duration::from_secs(1));
+    assert!(Freshness::for_bound(Duration::from_secs(6)).long_poll > strictest.long_poll);
 }
 
 /// A node that nobody follows finds out that a question hangs, and asks again,
@@ -53,7 +53,7 @@
     for bound in [3_000, 4_000, 5_000, 6_000, 13_000].map(Duration::from_millis) {
         let freshness = Freshness::for_bound(bound);
         let late_answer = Duration::from_millis(800);
-        assert!(freshness.wait_alone >= freshness.wait, "{bound:?}");
+        assert!(freshness.wait_alone >= freshness.long_poll, "{bound:?}");
         assert!(freshness.wait_alone + late_answer < bound, "{bound:?}");
     }
     let strictest = Freshness::for_bound(Duration::from_secs(3));
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -137,7 +137,7 @@
         // What was agreed to ends with news of the instances.
         let awaits_news = self.beliefs.withholds_any();
         if may_be_followed || awaits_news || self.followers.served() > 0 {
-            self.freshness.wait
+            self.freshness.long_poll
         } else {
             self.freshness.wait_alone
         }
