--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -42,7 +42,7 @@
     pub long_poll: Duration,
     /// The same for a node that nobody follows: a question that hangs is found
     /// out and asked again within the bound.
-    pub wait_alone: Duration,
+    pub long_poll_alone: Duration,
     /// Oldest knowledge that a follower accepts.
     pub trust: Duration,
     /// How long a node that has lost its readers may wait before it asks the
@@ -76,7 +76,7 @@
         let long_poll = trust - TRUST_MARGIN;
         Self {
             long_poll,
-            wait_alone: change_bound
+            long_poll_alone: change_bound
                 .saturating_sub(ALONE_MARGIN)
                 .clamp(long_poll, trust),
             trust,
--- a/crates/linkhold-core/tests/service_readers.rs
+++ b/crates/linkhold-core/tests/service_readers.rs
@@ -53,11 +53,14 @@
     for bound in [3_000, 4_000, 5_000, 6_000, 13_000].map(Duration::from_millis) {
         let freshness = Freshness::for_bound(bound);
         let late_answer = Duration::from_millis(800);
-        assert!(freshness.wait_alone >= freshness.long_poll, "{bound:?}");
-        assert!(freshness.wait_alone + late_answer < bound, "{bound:?}");
+        assert!(
+            freshness.long_poll_alone >= freshness.long_poll,
+            "{bound:?}"
+        );
+        assert!(freshness.long_poll_alone + late_answer < bound, "{bound:?}");
     }
     let strictest = Freshness::for_bound(Duration::from_secs(3));
-    assert_eq!(strictest.wait_alone, Duration::from_secs(2));
+    assert_eq!(strictest.long_poll_alone, Duration::from_secs(2));
 }
 
 fn node<'a>(zone: &'a str, name: &'a str) -> ReaderCandidate<'a> {
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -139,7 +139,7 @@
         if may_be_followed || awaits_news || self.followers.served() > 0 {
             self.freshness.long_poll
         } else {
-            self.freshness.wait_alone
+            self.freshness.long_poll_alone
         }
     }
 
