--- a/crates/linkhold-core/src/service/reader_search.rs
+++ b/crates/linkhold-core/src/service/reader_search.rs
@@ -112,7 +112,7 @@
             return;
         }
         let [shortest, longest] = LOOK_PAUSE_PERCENTS;
-        let trust = situation.freshness.trust;
+        let trust = situation.freshness.trust_period;
         let spread = (trust * (longest - shortest) / 100).mul_f64(draw);
         self.look_at = Some(situation.now + trust * shortest / 100 + spread);
     }
--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -12,7 +12,7 @@
 //!
 //! # Invariant
 //!
-//! A follower's knowledge is never older than [`Freshness::trust`]: the age of
+//! A follower's knowledge is never older than [`Freshness::trust_period`]: the age of
 //! the reader's last answer from the store, plus the time since the reader said
 //! so. What is left of the bound on changes of the configuration is enough to
 //! change to another source.
@@ -44,7 +44,7 @@
     /// out and asked again within the bound.
     pub long_poll_alone: Duration,
     /// Oldest knowledge that a follower accepts.
-    pub trust: Duration,
+    pub trust_period: Duration,
     /// How long a node that has lost its readers may wait before it asks the
     /// store, and again before it reads it: see [`super::reader_search`].
     pub search: Duration,
@@ -72,15 +72,15 @@
     /// The freshness that a bound needs: a change must be in force that soon.
     /// The longer it is, the fewer questions the store is asked.
     pub fn for_bound(change_bound: Duration) -> Self {
-        let trust = (change_bound * TRUST_PERCENT / 100).clamp(LEAST_TRUST, MOST_TRUST);
-        let long_poll = trust - TRUST_MARGIN;
+        let trust_period = (change_bound * TRUST_PERCENT / 100).clamp(LEAST_TRUST, MOST_TRUST);
+        let long_poll = trust_period - TRUST_MARGIN;
         Self {
             long_poll,
             long_poll_alone: change_bound
                 .saturating_sub(ALONE_MARGIN)
-                .clamp(long_poll, trust),
-            trust,
-            search: change_bound.saturating_sub(trust) * SEARCH_PERCENT / 100,
+                .clamp(long_poll, trust_period),
+            trust_period,
+            search: change_bound.saturating_sub(trust_period) * SEARCH_PERCENT / 100,
         }
     }
 
@@ -93,7 +93,7 @@
     /// Whether knowledge may be trusted: `age` as the reader told it, `since`
     /// then.
     pub fn is_trusted(&self, age: Duration, since: Duration) -> bool {
-        age + since < self.trust
+        age + since < self.trust_period
     }
 }
 
--- a/crates/linkhold-core/tests/service_readers.rs
+++ b/crates/linkhold-core/tests/service_readers.rs
@@ -24,7 +24,7 @@
 #[test]
 fn trust_covers_the_readers_own_age() {
     let freshness = Freshness::for_bound(Duration::from_secs(4));
-    let half = freshness.trust / 2;
+    let half = freshness.trust_period / 2;
     assert!(freshness.is_trusted(half, Duration::ZERO));
     assert!(freshness.is_trusted(Duration::ZERO, half));
     assert!(!freshness.is_trusted(half, half));
@@ -38,8 +38,11 @@
         let freshness = Freshness::for_bound(bound);
         let other_source = Duration::from_millis(1_000);
         let beat = Duration::from_millis(500);
-        assert!(freshness.trust + other_source <= bound, "{bound:?}");
-        assert!(freshness.long_poll + beat < freshness.trust, "{bound:?}");
+        assert!(freshness.trust_period + other_source <= bound, "{bound:?}");
+        assert!(
+            freshness.long_poll + beat < freshness.trust_period,
+            "{bound:?}"
+        );
     }
     let strictest = Freshness::for_bound(Duration::from_secs(3));
     assert_eq!(strictest.long_poll, Duration::from_secs(1));
@@ -227,7 +230,7 @@
 fn a_followers_entry_outlives_a_change_of_its_reader() {
     let freshness = Freshness::for_bound(Duration::from_secs(13));
     let spread = FOLLOWER_RENEWAL_INTERVAL * 12 / 10;
-    assert!(spread * 2 + freshness.trust < ROW_EXPIRY);
+    assert!(spread * 2 + freshness.trust_period < ROW_EXPIRY);
     assert!(spread * 2 <= READER_EXPIRY + Duration::from_millis(200));
 }
 
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -289,7 +289,7 @@
             Ok(Err(_)) => return Err(Lost::Broken),
             Err(_) => return Err(Lost::Stale),
         };
-        let most = Instant::now() + self.gateway.freshness.trust;
+        let most = Instant::now() + self.gateway.freshness.trust_period;
         let mut body = BytesMut::with_capacity(length);
         while body.len() < length {
             let stalls_at = silent_at.max(Instant::now() + STALL_TIME).min(most);
@@ -326,7 +326,7 @@
         if let Some(moment) = self.moment_of(list) {
             self.gateway.beliefs.directory_vouched(moment);
         }
-        let silent_at = now + (freshness.trust - age);
+        let silent_at = now + (freshness.trust_period - age);
         *self.trusted_until = silent_at;
         self.patience = Patience::UntilStale;
         start_following(self.gateway, self.reader);
