--- a/crates/linkhold-core/src/service/reader_search.rs
+++ b/crates/linkhold-core/src/service/reader_search.rs
@@ -12,10 +12,10 @@
 //! # Invariant
 //!
 //! A node whose readers are all of no use while the store answers it reads the
-//! store within twice [`Freshness::search`], the time of two tries of a reader
+//! store within twice [`Freshness::search_time`], the time of two tries of a reader
 //! and of one call, after its trust has ended: within the bound on changes. If
 //! the store did not answer it then, the node reads within its trust and twice
-//! [`Freshness::search`] after the store does.
+//! [`Freshness::search_time`] after the store does.
 
 use std::time::{Duration, Instant};
 
@@ -77,9 +77,9 @@
 impl SearchSituation {
     fn time_to_search(&self) -> Duration {
         if self.can_serve {
-            self.freshness.search
+            self.freshness.search_time
         } else {
-            self.freshness.search / STARTING_PART
+            self.freshness.search_time / STARTING_PART
         }
     }
 }
--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -47,12 +47,12 @@
     pub trust_period: Duration,
     /// How long a node that has lost its readers may wait before it asks the
     /// store, and again before it reads it: see [`super::reader_search`].
-    pub search: Duration,
+    pub search_time: Duration,
 }
 
 /// Part of the bound on changes during which a reader is trusted, in percent.
 const TRUST_PERCENT: u32 = 60;
-/// Part of what trust leaves of the bound that [`Freshness::search`] takes, in
+/// Part of what trust leaves of the bound that [`Freshness::search_time`] takes, in
 /// percent. Four times that, a call and a reading fit into the rest.
 const SEARCH_PERCENT: u32 = 20;
 /// How long a node that looks for a reader may wait for the first word of one,
@@ -80,14 +80,14 @@
                 .saturating_sub(ALONE_MARGIN)
                 .clamp(long_poll, trust_period),
             trust_period,
-            search: change_bound.saturating_sub(trust_period) * SEARCH_PERCENT / 100,
+            search_time: change_bound.saturating_sub(trust_period) * SEARCH_PERCENT / 100,
         }
     }
 
     /// How long a node waits for the first word of a reader.
     pub fn first_message_timeout(&self) -> Duration {
         let [least, most] = FIRST_WORD_TIMES;
-        self.search.clamp(least, most)
+        self.search_time.clamp(least, most)
     }
 
     /// Whether knowledge may be trusted: `age` as the reader told it, `since`
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -205,12 +205,12 @@
     ) {
         let mut node = Node::new(Duration::from_millis(bound_ms), readers.len(), seed);
         let back = node.now + Duration::from_millis(away_ms);
-        let Freshness { trust_period, search, .. } = node.freshness;
+        let Freshness { trust_period, search_time, .. } = node.freshness;
         let end = back + 60 * SECOND;
         let end = node.search(end, |index, _| readers[index], |now| now >= back);
         prop_assert_eq!(end, Some(End::Reads));
         let late = node.now.saturating_duration_since(back);
-        prop_assert!(late <= trust_period + 2 * search, "{:?} after its return", late);
+        prop_assert!(late <= trust_period + 2 * search_time, "{:?} after its return", late);
     }
 }
 
