--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -215,7 +215,7 @@
 const READERS_PAUSE: Duration = Duration::from_millis(800);
 
 /// Longest pause between two tries of a store that gives no answer.
-pub fn longest_pause(fleet_size: usize) -> Duration {
+pub fn max_retry_pause(fleet_size: usize) -> Duration {
     if has_readers(fleet_size) {
         READERS_PAUSE
     } else {
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -162,7 +162,7 @@
 
     /// Longest pause between two tries of a store that gives no answer.
     pub(crate) fn longest_store_pause(&self) -> Duration {
-        readers::longest_pause(self.fleet.size())
+        readers::max_retry_pause(self.fleet.size())
     }
 
     /// Whether the node is being stopped.
