--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -266,7 +266,7 @@
 }
 
 /// How often a node of a small fleet renews its row.
-pub const RENEWAL: Duration = Duration::from_millis(4_000);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(4_000);
 /// Age after which a node that has not renewed its registration no longer
 /// counts.
 pub const ROW_EXPIRY: Duration = Duration::from_millis(13_000);
--- a/crates/linkhold-core/tests/service_listing.rs
+++ b/crates/linkhold-core/tests/service_listing.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::service::listing::{LISTING_VALIDITY, Listing, SentRenewals};
-use linkhold_core::service::readers::{FOLLOWER_RENEWAL_INTERVAL, RENEWAL, ROW_EXPIRY};
+use linkhold_core::service::readers::{FOLLOWER_RENEWAL_INTERVAL, RENEWAL_INTERVAL, ROW_EXPIRY};
 
 #[test]
 fn a_listing_counts_from_before_its_renewal_was_sent() {
@@ -23,7 +23,7 @@
 #[test]
 fn a_listing_ends_before_its_row_and_outlives_two_renewals() {
     assert!(LISTING_VALIDITY < ROW_EXPIRY);
-    assert!(RENEWAL * 2 < LISTING_VALIDITY);
+    assert!(RENEWAL_INTERVAL * 2 < LISTING_VALIDITY);
     assert!(FOLLOWER_RENEWAL_INTERVAL * 3 < LISTING_VALIDITY);
 }
 
--- a/crates/linkhold-core/tests/service_readers.rs
+++ b/crates/linkhold-core/tests/service_readers.rs
@@ -3,8 +3,9 @@
 use std::time::Duration;
 
 use linkhold_core::service::readers::{
-    FOLLOWER_RENEWAL_INTERVAL, Freshness, READER_EXPIRY, RENEWAL, ROW_EXPIRY, ReaderCandidate,
-    SMALL_FLEET, Source, choose_readers, claim_delay, link_delay, shed_probability, source,
+    FOLLOWER_RENEWAL_INTERVAL, Freshness, READER_EXPIRY, RENEWAL_INTERVAL, ROW_EXPIRY,
+    ReaderCandidate, SMALL_FLEET, Source, choose_readers, claim_delay, link_delay,
+    shed_probability, source,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -246,9 +247,9 @@
         let a_second = writes / FOLLOWER_RENEWAL_INTERVAL.as_secs_f64();
         assert!(a_second < MOST_WRITES_A_SECOND, "{size} nodes: {a_second}");
     }
-    let small = SMALL_FLEET as f64 / RENEWAL.as_secs_f64();
+    let small = SMALL_FLEET as f64 / RENEWAL_INTERVAL.as_secs_f64();
     assert!(small < MOST_WRITES_A_SECOND);
-    assert!(ROW_EXPIRY > RENEWAL * 2);
+    assert!(ROW_EXPIRY > RENEWAL_INTERVAL * 2);
 }
 
 /// Followers of each reader after some beats, at each of which they are sent away as is
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -82,7 +82,7 @@
     match (gateway.fleet.has_readers(), has_changed) {
         (true, true) => CHANGING_INTERVAL,
         (true, false) => readers::FOLLOWER_RENEWAL_INTERVAL,
-        (false, _) => readers::RENEWAL,
+        (false, _) => readers::RENEWAL_INTERVAL,
     }
 }
 
