--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -180,7 +180,7 @@
     /// How long ago it heard of the fleet.
     pub view_age: Duration,
     /// How long this life of it has lasted.
-    pub life_time: Duration,
+    pub uptime: Duration,
     /// The fleet listed it before this life.
     pub was_listed: bool,
 }
@@ -194,7 +194,7 @@
     };
     standing.rank.is_some_and(|rank| rank < SENDERS)
         && standing.view_age < VIEW_TRUST
-        && standing.life_time >= joined
+        && standing.uptime >= joined
 }
 
 /// What a spender has sent to an instance in the last second.
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -86,7 +86,7 @@
             view_age: life
                 .cut_off_at
                 .map_or(Duration::ZERO, |at| milliseconds(tick.saturating_sub(at))),
-            life_time: if waits_after_start {
+            uptime: if waits_after_start {
                 life_time
             } else {
                 Duration::MAX
@@ -276,7 +276,7 @@
     let well = SenderRank {
         rank: Some(1),
         view_age: milliseconds(500),
-        life_time: milliseconds(2_000),
+        uptime: milliseconds(2_000),
         was_listed: true,
     };
     assert!(may_send(well));
@@ -291,7 +291,7 @@
             ..well
         },
         SenderRank {
-            life_time: milliseconds(900),
+            uptime: milliseconds(900),
             ..well
         },
         SenderRank {
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -137,7 +137,7 @@
         SenderRank {
             rank: owners.rank().filter(|_| self.fleet.knows_all()),
             view_age: self.beliefs.directory_age(),
-            life_time: self.started_at.elapsed(),
+            uptime: self.started_at.elapsed(),
             was_listed: self.fleet.was_listed(),
         }
     }
