--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -206,7 +206,12 @@
 impl RequestWindow {
     /// Counts one request if there is room for it among `most`, or tells when there
     /// will be. Some room is kept for urgent ones.
-    pub fn spend(&mut self, now: Instant, most: usize, is_urgent: bool) -> Result<(), Duration> {
+    pub fn try_count(
+        &mut self,
+        now: Instant,
+        most: usize,
+        is_urgent: bool,
+    ) -> Result<(), Duration> {
         while self.sent.front().is_some_and(|at| *at + WINDOW <= now) {
             self.sent.pop_front();
         }
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -93,7 +93,7 @@
             },
             was_listed: true,
         };
-        if may_send(standing) && count.spend(now, most, true).is_ok() {
+        if may_send(standing) && count.try_count(now, most, true).is_ok() {
             sent.push(now);
         }
     }
@@ -254,7 +254,7 @@
     let mut count = RequestWindow::default();
     let mut spent = 0;
     let wait = loop {
-        match count.spend(now, 9, false) {
+        match count.try_count(now, 9, false) {
             Ok(()) => spent += 1,
             Err(wait) => break wait,
         }
@@ -265,10 +265,10 @@
         "{wait:?}"
     );
     for _ in 0..3 {
-        count.spend(now, 9, true).unwrap();
+        count.try_count(now, 9, true).unwrap();
     }
-    assert!(count.spend(now, 9, true).is_err());
-    assert!(count.spend(now + wait, 9, false).is_ok());
+    assert!(count.try_count(now, 9, true).is_err());
+    assert!(count.try_count(now + wait, 9, false).is_ok());
 }
 
 #[test]
