--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -106,7 +106,7 @@
 
 impl Warmth {
     /// A connection to watch it by was opened.
-    pub fn watched(&mut self, now: Instant) {
+    pub fn watch_opened(&mut self, now: Instant) {
         self.watch = Some(Watch {
             opened_at: now,
             answered_as_of: None,
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -142,7 +142,7 @@
         let mut says_cold = false;
         for moment in 0..=asked {
             if moment == opened || moment == restarted + reopened_after {
-                warmth.watched(at(moment));
+                warmth.watch_opened(at(moment));
             }
             if moment == restarted + noticed_after.min(reopened_after) {
                 warmth.watch_closed();
@@ -188,7 +188,7 @@
     let start = Instant::now();
     let rules = rules(1.5, 5.0);
     let mut warmth = Warmth::default();
-    warmth.watched(start);
+    warmth.watch_opened(start);
     let settled = start + rules.settling_time();
     warmth.answered(settled - QUESTION_INTERVAL);
     assert!(!warmth.is_warm(&rules, false, settled - milliseconds(1)));
@@ -217,7 +217,7 @@
     let start = Instant::now();
     let rules = rules(1.5, 5.0);
     let mut warmth = Warmth::default();
-    warmth.watched(start + milliseconds(restarted + opened_after));
+    warmth.watch_opened(start + milliseconds(restarted + opened_after));
     let gone_at = restarted.saturating_sub(written_before) + ENTRY_LIFE;
     let first_written = restarted + cut_for;
     for moment in (restarted..first_written).step_by(50) {
--- a/crates/linkhold-gateway/src/warm_up/watch.rs
+++ b/crates/linkhold-gateway/src/warm_up/watch.rs
@@ -83,7 +83,7 @@
             let opened_at = Instant::now();
             gateway
                 .warm_ups
-                .update(id, |known| known.warmth.watched(opened_at));
+                .update(id, |known| known.warmth.watch_opened(opened_at));
             ask_until_broken(&gateway, id, connection).await;
             gateway
                 .warm_ups
