--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -115,7 +115,7 @@
     }
 
     /// A question that was sent at `sent_at` was answered on that connection.
-    pub fn answered(&mut self, sent_at: Instant) {
+    pub fn record_answer(&mut self, sent_at: Instant) {
         if let Some(watch) = &mut self.watch {
             watch.answered_as_of = watch.answered_as_of.max(Some(sent_at));
         }
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -150,7 +150,7 @@
             // The old connection answers nothing any more.
             let is_heard = moment < restarted || moment >= restarted + reopened_after;
             if is_heard && questions.contains(&moment) {
-                warmth.answered(at(moment));
+                warmth.record_answer(at(moment));
             }
             let told = restarted + entry_after..restarted + 5_000;
             says_cold = told.contains(&moment);
@@ -190,14 +190,14 @@
     let mut warmth = Warmth::default();
     warmth.watch_opened(start);
     let settled = start + rules.settling_time();
-    warmth.answered(settled - QUESTION_INTERVAL);
+    warmth.record_answer(settled - QUESTION_INTERVAL);
     assert!(!warmth.is_warm(&rules, false, settled - milliseconds(1)));
     assert!(warmth.is_warm(&rules, false, settled));
     assert!(!warmth.is_warm(&rules, false, settled + ANSWER_VALIDITY));
     assert!(warmth.doubted(settled));
     assert!(!warmth.doubted(settled + milliseconds(1)));
     assert!(!warmth.is_warm(&rules, false, settled + milliseconds(2)));
-    warmth.answered(settled + milliseconds(3));
+    warmth.record_answer(settled + milliseconds(3));
     assert!(warmth.is_warm(&rules, false, settled + milliseconds(4)));
 }
 
--- a/crates/linkhold-gateway/src/warm_up/watch.rs
+++ b/crates/linkhold-gateway/src/warm_up/watch.rs
@@ -128,7 +128,7 @@
         }
         gateway
             .warm_ups
-            .update(id, |known| known.warmth.answered(sent_at));
+            .update(id, |known| known.warmth.record_answer(sent_at));
         // A doubt is as good a reason to ask again as time passing.
         let _ = timeout(QUESTION_INTERVAL, doubt.notified()).await;
     }
