--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -128,7 +128,7 @@
 
     /// Another connection broke, or could not be made: it may have been started
     /// again. Whether this asks for an answer that was not asked for already.
-    pub fn doubted(&mut self, now: Instant) -> bool {
+    pub fn record_doubt(&mut self, now: Instant) -> bool {
         let known = self.watch.and_then(|watch| watch.answered_as_of);
         let was_sure = self.doubted_at.is_none_or(|at| known > Some(at));
         self.doubted_at = Some(now);
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -194,8 +194,8 @@
     assert!(!warmth.is_warm(&rules, false, settled - milliseconds(1)));
     assert!(warmth.is_warm(&rules, false, settled));
     assert!(!warmth.is_warm(&rules, false, settled + ANSWER_VALIDITY));
-    assert!(warmth.doubted(settled));
-    assert!(!warmth.doubted(settled + milliseconds(1)));
+    assert!(warmth.record_doubt(settled));
+    assert!(!warmth.record_doubt(settled + milliseconds(1)));
     assert!(!warmth.is_warm(&rules, false, settled + milliseconds(2)));
     warmth.record_answer(settled + milliseconds(3));
     assert!(warmth.is_warm(&rules, false, settled + milliseconds(4)));
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -93,7 +93,7 @@
     pub fn doubted(&self, id: &InstanceId) {
         let mut instances = lock(&self.instances);
         if let Some(known) = instances.get_mut(id)
-            && known.warmth.doubted(Instant::now())
+            && known.warmth.record_doubt(Instant::now())
         {
             known.doubt.notify_one();
         }
