--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -11,7 +11,7 @@
 //!
 //! * An owner that sends without counting has a connection that was opened at
 //!   least the settling time ago, and has seen the instance listed as of later than that
-//!   ([`Warmth::entry_known`]): whoever was listed then had written its entry since, so the
+//!   ([`Warmth::record_listing`]): whoever was listed then had written its entry since, so the
 //!   entry is that of the life to which the connection leads. And that connection
 //!   has answered a question sent after the last doubt and within [`ANSWER_VALIDITY`].
 //!   The connection on which it sends was opened before that question was sent: a
@@ -145,7 +145,7 @@
     /// Whether the instance is listed is known as of a moment. An entry that stood for the
     /// settling time after the connection was opened is that of the life to which it leads;
     /// that stays so while the connection stands.
-    pub fn entry_known(&mut self, rules: &WarmUpRules, is_listed: bool, as_of: Option<Instant>) {
+    pub fn record_listing(&mut self, rules: &WarmUpRules, is_listed: bool, as_of: Option<Instant>) {
         if let Some(watch) = &mut self.watch {
             let settled_at = watch.opened_at + rules.settling_time();
             watch.is_incarnation_listed |= is_listed && as_of >= Some(settled_at);
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -222,7 +222,7 @@
     let first_written = restarted + cut_for;
     for moment in (restarted..first_written).step_by(50) {
         let is_listed = moment < gone_at || !looks_at_listing;
-        warmth.entry_known(&rules, is_listed, Some(start + milliseconds(moment)));
+        warmth.record_listing(&rules, is_listed, Some(start + milliseconds(moment)));
     }
     warmth.is_incarnation_listed()
 }
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -41,7 +41,8 @@
     /// in a second through where 14 are allowed; with the instance cut off from the store, 160
     /// where 10 are.
     pub fn may_be_warm(&mut self, rules: &WarmUpRules, entry: EntryKnown, now: Instant) -> bool {
-        self.warmth.entry_known(rules, entry.is_listed, entry.as_of);
+        self.warmth
+            .record_listing(rules, entry.is_listed, entry.as_of);
         self.warmth.is_incarnation_listed() && self.warmth.is_warm(rules, entry.says_cold, now)
     }
 
