--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -70,13 +70,13 @@
 
 impl WarmUpRules {
     /// Requests that may reach a cold instance in any second.
-    pub fn most(&self, limit: WarmUpLimit) -> f64 {
+    pub fn max_requests(&self, limit: WarmUpLimit) -> f64 {
         limit.per_second * self.overshoot + self.slack
     }
 
     /// Requests that one spender may send in any second.
     pub fn part(&self, limit: WarmUpLimit) -> usize {
-        (self.most(limit) / SENDERS as f64).floor() as usize
+        (self.max_requests(limit) / SENDERS as f64).floor() as usize
     }
 
     /// How long a connection must have stood before it proves anything: an entry from
