--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -75,7 +75,7 @@
     }
 
     /// Requests that one spender may send in any second.
-    pub fn part(&self, limit: WarmUpLimit) -> usize {
+    pub fn sender_share(&self, limit: WarmUpLimit) -> usize {
         (self.max_requests(limit) / SENDERS as f64).floor() as usize
     }
 
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -107,7 +107,7 @@
     fn parts_are_within_the_bound(per_second in 0.1_f64..100.0, overshoot in 1.0_f64..3.0, slack in 0.0_f64..20.0) {
         let rules = rules(overshoot, slack);
         let most = rules.max_requests(limit(per_second));
-        let part = rules.part(limit(per_second));
+        let part = rules.sender_share(limit(per_second));
         prop_assert!((part * SENDERS) as f64 <= most);
         prop_assert!(part >= 1 || most < 2.0);
     }
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -64,7 +64,9 @@
             if !warm_up::may_send(standing) {
                 return Err(ELSEWHERE_RETRY);
             }
-            known.sent.try_count(now, rules.part(limit), is_urgent)
+            known
+                .sent
+                .try_count(now, rules.sender_share(limit), is_urgent)
         });
         if admitted.is_err() {
             self.metrics.refused_cold.add();
@@ -128,7 +130,7 @@
             }
             // Tried on a copy: it is counted where it is sent.
             let mut sent = known.sent.clone();
-            sent.try_count(now, rules.part(limit), true).err()
+            sent.try_count(now, rules.sender_share(limit), true).err()
         })
     }
 
