--- a/crates/linkhold-core/src/service/evacuation.rs
+++ b/crates/linkhold-core/src/service/evacuation.rs
@@ -157,7 +157,7 @@
     }
 
     /// What is known was true at a moment.
-    pub fn vouched(&mut self, moment: Instant) {
+    pub fn confirm_as_of(&mut self, moment: Instant) {
         self.vouched_at = self.vouched_at.max(Some(moment));
     }
 
--- a/crates/linkhold-core/tests/service_evacuation.rs
+++ b/crates/linkhold-core/tests/service_evacuation.rs
@@ -99,7 +99,7 @@
         let start = Instant::now();
         let mut evacuations = Evacuations::default();
         for moment in vouched {
-            evacuations.vouched(start + milliseconds(moment));
+            evacuations.confirm_as_of(start + milliseconds(moment));
         }
         let acknowledged_at = start + milliseconds(acknowledged);
         let learnt_at = acknowledged_at + milliseconds(learnt_after);
@@ -124,7 +124,7 @@
     let acknowledged_at = Instant::now();
     let learnt_at = acknowledged_at + milliseconds(4_000);
     let mut evacuations = Evacuations::default();
-    evacuations.vouched(learnt_at);
+    evacuations.confirm_as_of(learnt_at);
     evacuations.apply(
         at(1),
         [EvacuationChange::Evacuated("a".into())],
@@ -140,7 +140,7 @@
     let start = Instant::now();
     let mut evacuations = Evacuations::default();
     let evacuated = || [EvacuationChange::Evacuated("a".into())];
-    evacuations.vouched(start);
+    evacuations.confirm_as_of(start);
     evacuations.apply(at(1), evacuated(), BOUND, start);
     // Told twice, it is no news.
     assert!(
@@ -157,7 +157,7 @@
         much_later,
     );
     assert_eq!(evacuations.state("a", much_later), ZoneState::InService);
-    evacuations.vouched(much_later);
+    evacuations.confirm_as_of(much_later);
     evacuations.apply(at(4), evacuated(), BOUND, much_later);
     assert_eq!(evacuations.state("a", much_later), ZoneState::Emptying);
 }
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/beliefs/eligibility.rs
@@ -135,7 +135,7 @@
 
     /// What is known of evacuations was true at a moment.
     pub fn evacuations_vouched(&self, moment: Instant) {
-        lock(&self.instances).evacuations.vouched(moment);
+        lock(&self.instances).evacuations.confirm_as_of(moment);
     }
 
     /// The zones that are evacuated, and the place in the store's changes up to
