--- a/crates/linkhold-core/src/service/primary_placement.rs
+++ b/crates/linkhold-core/src/service/primary_placement.rs
@@ -17,7 +17,7 @@
         .routes
         .iter()
         .map(|(database, route)| (database, &**route))
-        .filter(|(_, route)| &*route.service == service && route.regions.is_bound())
+        .filter(|(_, route)| &*route.service == service && route.regions.is_restricted())
         .collect();
     routes.sort_by_key(|(database, route)| (urgency(route), (*database).clone()));
     let of_routes = routes.iter().map(|(_, route)| &route.regions);
@@ -43,7 +43,7 @@
 /// Tenants that are bound to regions, those that may ask most first.
 fn tenants_by_size(configuration: &Configuration) -> Vec<&Tenant> {
     let tenants = configuration.tenancy.iter().flat_map(|it| it.tenants());
-    let mut bound: Vec<&Tenant> = tenants.filter(|it| it.regions.is_bound()).collect();
+    let mut bound: Vec<&Tenant> = tenants.filter(|it| it.regions.is_restricted()).collect();
     bound.sort_by(|one, two| {
         let by_rate = allowed_rate(two).total_cmp(&allowed_rate(one));
         by_rate.then_with(|| one.name.cmp(&two.name))
--- a/crates/linkhold-core/src/service/regions.rs
+++ b/crates/linkhold-core/src/service/regions.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether there is a bound at all.
-    pub fn is_bound(&self) -> bool {
+    pub fn is_restricted(&self) -> bool {
         matches!(self, Self::Only(_))
     }
 
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/beliefs/eligibility.rs
@@ -166,7 +166,7 @@
     ) -> Result<(), Ineligible> {
         let zone = instances.evacuations.state(&instance.zone, Instant::now());
         let standing = Standing {
-            is_in_regions: !regions.is_bound()
+            is_in_regions: !regions.is_restricted()
                 || regions.permits(&self.places.region(&instance.zone)),
             zone,
         };
@@ -177,7 +177,7 @@
     /// will before something changes; `None` if one may, or none is known.
     pub fn barrier(&self, service: &str, regions: &AllowedRegions) -> Option<Ineligible> {
         let instances = lock(&self.instances);
-        if !regions.is_bound() && instances.evacuations.is_empty() {
+        if !regions.is_restricted() && instances.evacuations.is_empty() {
             return None;
         }
         let mut barrier = None;
@@ -233,5 +233,7 @@
         let regions = primary_placement::primary_regions(configuration, service);
         (service.clone(), regions)
     });
-    regions.filter(|(_, regions)| regions.is_bound()).collect()
+    regions
+        .filter(|(_, regions)| regions.is_restricted())
+        .collect()
 }
--- a/crates/linkhold-gateway/src/request/attempt/held.rs
+++ b/crates/linkhold-gateway/src/request/attempt/held.rs
@@ -43,7 +43,7 @@
                     .fleet
                     .region_of(lent.owner(), &gateway.settings.places);
                 let sees = owner.is_some_and(|region| regions.permits(&region));
-                (!regions.is_bound() || sees) && permits_zone(&lent.instance().zone)
+                (!regions.is_restricted() || sees) && permits_zone(&lent.instance().zone)
             }
         }
     }
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -241,7 +241,8 @@
     let beliefs = &gateway.beliefs;
     let wanted = beliefs.primary_regions(service);
     let is_among = |region: &RegionName| unit.regions.permits(region);
-    let serves = !unit.regions.is_bound() || wanted.is_bound() && wanted.names().all(is_among);
+    let serves =
+        !unit.regions.is_restricted() || wanted.is_restricted() && wanted.names().all(is_among);
     serves && beliefs.has_place_for_primary(service)
 }
 
