--- a/crates/linkhold-core/src/service/health.rs
+++ b/crates/linkhold-core/src/service/health.rs
@@ -54,7 +54,7 @@
     }
 
     /// It answered, whatever the answer.
-    pub fn succeeded(&mut self, now: Instant, took: Duration) {
+    pub fn record_success(&mut self, now: Instant, took: Duration) {
         self.consecutive_failures = 0;
         self.failing_since = None;
         self.avoid_until = None;
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -67,7 +67,7 @@
     };
     assert_eq!(pick(&well), "near");
     let mut slow = InstanceHealth::default();
-    slow.succeeded(now, Duration::from_millis(900));
+    slow.record_success(now, Duration::from_millis(900));
     assert_eq!(pick(&slow), "far");
     let mut busy = InstanceHealth::default();
     busy.was_busy(now, Duration::from_millis(40));
@@ -100,7 +100,7 @@
     assert!(both(&health, later).is_some());
     health.begin_trial(later);
     assert_eq!(both(&health, later), None);
-    health.succeeded(later, Duration::from_millis(5));
+    health.record_success(later, Duration::from_millis(5));
     assert!(both(&health, later).is_some());
 }
 
@@ -205,7 +205,7 @@
     };
     let well = InstanceHealth::default();
     let mut slow = InstanceHealth::default();
-    slow.succeeded(now, Duration::from_millis(900));
+    slow.record_success(now, Duration::from_millis(900));
     let pick = |health: &InstanceHealth| {
         let candidates = [
             (&primary, &well, Distance::Zone),
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -208,7 +208,7 @@
     ) {
         let now = Instant::now();
         self.beliefs.observe(id, |health| {
-            health.succeeded(now, took);
+            health.record_success(now, took);
             if let Some(position) = position {
                 health.holds(position);
             }
