--- a/crates/linkhold-core/src/service/health.rs
+++ b/crates/linkhold-core/src/service/health.rs
@@ -67,7 +67,7 @@
     }
 
     /// It could not be reached or did not answer.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.consecutive_failures += 1;
         self.failing_since.get_or_insert(now);
         let doubled = FIRST_BACKOFF * 2_u32.pow((self.consecutive_failures - 1).min(4));
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -76,7 +76,7 @@
     behind.lagged(now);
     assert_eq!(pick(&behind), "far");
     let mut failing = InstanceHealth::default();
-    failing.failed(now);
+    failing.record_failure(now);
     assert_eq!(pick(&failing), "far");
 }
 
@@ -85,7 +85,7 @@
     let now = Instant::now();
     let (one, two) = (instance("one"), instance("two"));
     let mut health = InstanceHealth::default();
-    health.failed(now);
+    health.record_failure(now);
     let both = |health: &InstanceHealth, at| {
         chosen(
             [
@@ -273,7 +273,7 @@
     let (near, far) = (instance("near"), instance("far"));
     let well = InstanceHealth::default();
     let mut failing = InstanceHealth::default();
-    failing.failed(now);
+    failing.record_failure(now);
     let pick = |far_health: &InstanceHealth, now: Instant| {
         let candidates = [(&near, &well, true), (&far, far_health, false)];
         let candidates = candidates.map(|(instance, health, is_cold)| Candidate {
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -183,7 +183,7 @@
             .inspect(&instance.id, |health| health.is_failing())
             .unwrap_or(false);
         self.beliefs
-            .observe(&instance.id, |health| health.failed(now));
+            .observe(&instance.id, |health| health.record_failure(now));
         self.pools.close_idle(&instance.id);
         self.warm_ups.doubted(&instance.id);
         self.metrics.instance_failures.add();
