--- a/crates/linkhold-core/src/service/health.rs
+++ b/crates/linkhold-core/src/service/health.rs
@@ -83,7 +83,7 @@
     }
 
     /// It lacked a position that a read required.
-    pub fn lagged(&mut self, now: Instant) {
+    pub fn record_lag(&mut self, now: Instant) {
         // What it held may have been rolled back.
         self.held = None;
         let since = self.behind.map_or(now, |behind| behind.since);
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -73,7 +73,7 @@
     busy.was_busy(now, Duration::from_millis(40));
     assert_eq!(pick(&busy), "far");
     let mut behind = InstanceHealth::default();
-    behind.lagged(now);
+    behind.record_lag(now);
     assert_eq!(pick(&behind), "far");
     let mut failing = InstanceHealth::default();
     failing.record_failure(now);
@@ -151,19 +151,19 @@
     };
     let mut behind = InstanceHealth::default();
     assert!(!behind.lacks(REQUIRED, now));
-    behind.lagged(now);
+    behind.record_lag(now);
     behind.holds(older);
     assert!(behind.lacks(REQUIRED, now));
     assert!(!behind.lacks(older, now), "it holds that");
     let soon = now + Duration::from_millis(100);
     assert!(!behind.lacks(REQUIRED, soon), "it is tried again");
     let late = now + Duration::from_secs(1);
-    behind.lagged(late);
+    behind.record_lag(late);
     assert!(behind.lacks(REQUIRED, late + Duration::from_millis(100)));
     assert!(!behind.lacks(REQUIRED, late + Duration::from_millis(500)));
     behind.holds(REQUIRED);
     assert!(!behind.lacks(REQUIRED, late));
-    behind.lagged(late);
+    behind.record_lag(late);
     assert!(behind.lacks(REQUIRED, late), "what it held was rolled back");
     behind.record_fresh_read();
     assert!(!behind.lacks(REQUIRED, late));
@@ -175,7 +175,7 @@
     let (primary, replica) = (instance("primary"), instance("replica"));
     let well = InstanceHealth::default();
     let mut behind = InstanceHealth::default();
-    behind.lagged(now);
+    behind.record_lag(now);
     let is_last = |health: &InstanceHealth| {
         let candidates = [(&primary, &well, true), (&replica, health, false)];
         let candidates = candidates
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -49,7 +49,7 @@
                 .observe(&instance.id, |health| health.was_busy(now, BUSY_PAUSE)),
             BackendErrorKind::Lagging => self
                 .beliefs
-                .observe(&instance.id, |health| health.lagged(now)),
+                .observe(&instance.id, |health| health.record_lag(now)),
             BackendErrorKind::WrongInstance => {
                 self.instance_failed(instance, "address_used_by_another");
             }
