--- a/crates/linkhold-core/src/service/health.rs
+++ b/crates/linkhold-core/src/service/health.rs
@@ -94,7 +94,7 @@
     }
 
     /// It said that its log has come so far.
-    pub fn holds(&mut self, position: Position) {
+    pub fn record_position(&mut self, position: Position) {
         self.held = self.held.max(Some(position));
     }
 
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -152,7 +152,7 @@
     let mut behind = InstanceHealth::default();
     assert!(!behind.lacks(REQUIRED, now));
     behind.record_lag(now);
-    behind.holds(older);
+    behind.record_position(older);
     assert!(behind.lacks(REQUIRED, now));
     assert!(!behind.lacks(older, now), "it holds that");
     let soon = now + Duration::from_millis(100);
@@ -161,7 +161,7 @@
     behind.record_lag(late);
     assert!(behind.lacks(REQUIRED, late + Duration::from_millis(100)));
     assert!(!behind.lacks(REQUIRED, late + Duration::from_millis(500)));
-    behind.holds(REQUIRED);
+    behind.record_position(REQUIRED);
     assert!(!behind.lacks(REQUIRED, late));
     behind.record_lag(late);
     assert!(behind.lacks(REQUIRED, late), "what it held was rolled back");
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -210,7 +210,7 @@
         self.beliefs.observe(id, |health| {
             health.record_success(now, took);
             if let Some(position) = position {
-                health.holds(position);
+                health.record_position(position);
             }
         });
     }
