--- a/crates/linkhold-core/src/service/health.rs
+++ b/crates/linkhold-core/src/service/health.rs
@@ -118,7 +118,7 @@
     }
 
     /// It had no free slot.
-    pub fn was_busy(&mut self, now: Instant, pause: Duration) {
+    pub fn record_busy(&mut self, now: Instant, pause: Duration) {
         self.busy_until = Some(now + pause);
     }
 
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -70,7 +70,7 @@
     slow.record_success(now, Duration::from_millis(900));
     assert_eq!(pick(&slow), "far");
     let mut busy = InstanceHealth::default();
-    busy.was_busy(now, Duration::from_millis(40));
+    busy.record_busy(now, Duration::from_millis(40));
     assert_eq!(pick(&busy), "far");
     let mut behind = InstanceHealth::default();
     behind.record_lag(now);
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -46,7 +46,7 @@
             BackendErrorKind::ReadOnly => self.instance_denied_primary(instance),
             BackendErrorKind::Busy | BackendErrorKind::TooManyConnections => self
                 .beliefs
-                .observe(&instance.id, |health| health.was_busy(now, BUSY_PAUSE)),
+                .observe(&instance.id, |health| health.record_busy(now, BUSY_PAUSE)),
             BackendErrorKind::Lagging => self
                 .beliefs
                 .observe(&instance.id, |health| health.record_lag(now)),
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -331,7 +331,7 @@
                 retrying(gateway, work, &instance, cause);
                 if let NotRunCause::WarmingUp(after) = cause {
                     let beliefs = &gateway.beliefs;
-                    beliefs.observe(&instance.id, |health| health.was_busy(now, after));
+                    beliefs.observe(&instance.id, |health| health.record_busy(now, after));
                 }
             }
             Attempt::Lost | Attempt::TimedOut if opening != Opening::Alone => {
