--- a/crates/linkhold-core/src/service/concurrency.rs
+++ b/crates/linkhold-core/src/service/concurrency.rs
@@ -60,7 +60,7 @@
     }
 
     /// The instance had no room.
-    pub fn refused(&mut self, now: Instant) {
+    pub fn record_refusal(&mut self, now: Instant) {
         let is_news = self
             .decreased_at
             .is_none_or(|at| now.saturating_duration_since(at) >= DECREASE_INTERVAL);
--- a/crates/linkhold-core/tests/service_concurrency.rs
+++ b/crates/linkhold-core/tests/service_concurrency.rs
@@ -21,12 +21,12 @@
 fn refusals_lower_it_once_for_each_moment_and_answers_raise_it_slowly() {
     let now = Instant::now();
     let mut limit = ConcurrencyLimit::new(5, 40);
-    limit.refused(now);
+    limit.record_refusal(now);
     let lowered = limit.get();
     assert!((5..10).contains(&lowered), "{lowered}");
-    limit.refused(now + Duration::from_millis(10));
+    limit.record_refusal(now + Duration::from_millis(10));
     assert_eq!(limit.get(), lowered);
-    limit.refused(now + Duration::from_millis(200));
+    limit.record_refusal(now + Duration::from_millis(200));
     assert!(limit.get() < lowered);
     let low = limit.get();
     for _ in 0..low {
@@ -56,7 +56,7 @@
         for is_refused in events {
             now += Duration::from_millis(60);
             if is_refused {
-                limit.refused(now);
+                limit.record_refusal(now);
             } else {
                 limit.record_answer_under_load();
             }
--- a/crates/linkhold-gateway/src/gate.rs
+++ b/crates/linkhold-gateway/src/gate.rs
@@ -70,7 +70,7 @@
 
     /// The instance had no room.
     pub fn refused(&self) {
-        lock(&self.state).limit.refused(Instant::now());
+        lock(&self.state).limit.record_refusal(Instant::now());
     }
 
     /// Waits until a statement may go; `None` if it may not before `deadline`.
