--- a/crates/linkhold-core/src/service/waiting.rs
+++ b/crates/linkhold-core/src/service/waiting.rs
@@ -9,6 +9,6 @@
 const WAIT_PERCENT: u32 = 23;
 
 /// How long a request with this latency objective may wait.
-pub fn patience(latency_objective: Duration) -> Duration {
+pub fn max_wait(latency_objective: Duration) -> Duration {
     latency_objective * WAIT_PERCENT / 100
 }
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -220,7 +220,7 @@
 #[test]
 fn a_request_waits_for_less_than_a_quarter_of_its_objective() {
     let objective = Duration::from_millis(400);
-    assert!(waiting::patience(objective) < objective / 4);
+    assert!(waiting::max_wait(objective) < objective / 4);
 }
 
 fn values() -> impl Strategy<Value = SessionValues> {
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -61,7 +61,7 @@
 impl Unit<'_> {
     /// Until when it may wait for room or for a primary.
     pub fn wait_until(&self) -> Instant {
-        self.received_at + waiting::patience(self.route.latency_objective)
+        self.received_at + waiting::max_wait(self.route.latency_objective)
     }
 
     /// For whom it runs.
--- a/crates/linkhold-gateway/src/session/operations.rs
+++ b/crates/linkhold-gateway/src/session/operations.rs
@@ -241,7 +241,7 @@
         holder: &ConnectionHolder,
         received_at: Instant,
     ) -> Result<(), Failure> {
-        let deadline = received_at + waiting::patience(route.latency_objective);
+        let deadline = received_at + waiting::max_wait(route.latency_objective);
         admission::admit(&self.gateway, holder, deadline)
             .await
             .map_err(Failure::NotRun)
