--- a/crates/linkhold-core/src/service/eligibility.rs
+++ b/crates/linkhold-core/src/service/eligibility.rs
@@ -33,7 +33,7 @@
 
 /// What decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct EligibilityFacts {
     /// The instance's region is one that the request allows.
     pub is_in_regions: bool,
     /// What the instance's zone allows.
@@ -41,7 +41,7 @@
 }
 
 /// Whether a statement may be sent.
-pub fn check(standing: Standing, engagement: StatementBinding) -> Result<(), Ineligible> {
+pub fn check(standing: EligibilityFacts, engagement: StatementBinding) -> Result<(), Ineligible> {
     if !standing.is_in_regions {
         return Err(Ineligible::OutsideRegions);
     }
--- a/crates/linkhold-core/tests/service_evacuation.rs
+++ b/crates/linkhold-core/tests/service_evacuation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use linkhold_core::service::eligibility::{Ineligible, Standing, StatementBinding, check};
+use linkhold_core::service::eligibility::{EligibilityFacts, Ineligible, StatementBinding, check};
 use linkhold_core::service::evacuation::{
     EvacuationChange, Evacuations, OPEN_WORK_PERCENT, ZoneName, ZoneState,
 };
@@ -107,7 +107,7 @@
         prop_assert_eq!(news.len(), 1);
         let asked_at = learnt_at + milliseconds(asked_after);
         let zone = evacuations.state("a", asked_at);
-        let standing = Standing { is_in_regions: true, zone };
+        let standing = EligibilityFacts { is_in_regions: true, zone };
         prop_assert_eq!(check(standing, StatementBinding::Free), Err(Ineligible::Evacuated));
         let ends_at = learnt_at.max(acknowledged_at + BOUND * OPEN_WORK_PERCENT / 100);
         if asked_at >= ends_at {
--- a/crates/linkhold-core/tests/service_regions.rs
+++ b/crates/linkhold-core/tests/service_regions.rs
@@ -6,7 +6,7 @@
 
 use linkhold_core::outcome::NotRun;
 use linkhold_core::service::configuration::{Configuration, Consistency, Route, ServiceLimits};
-use linkhold_core::service::eligibility::{Ineligible, Standing, StatementBinding, check};
+use linkhold_core::service::eligibility::{EligibilityFacts, Ineligible, StatementBinding, check};
 use linkhold_core::service::evacuation::ZoneState;
 use linkhold_core::service::primary_placement::primary_regions;
 use linkhold_core::service::regions::AllowedRegions;
@@ -118,7 +118,7 @@
     fn nothing_outside_is_eligible(state in 0..3, is_free in any::<bool>()) {
         let zone = [ZoneState::InService, ZoneState::Emptying, ZoneState::Closed][state as usize];
         let engagement = if is_free { StatementBinding::Free } else { StatementBinding::Bound };
-        let standing = Standing { is_in_regions: false, zone };
+        let standing = EligibilityFacts { is_in_regions: false, zone };
         prop_assert_eq!(check(standing, engagement), Err(Ineligible::OutsideRegions));
     }
 }
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/beliefs/eligibility.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use linkhold_core::service::configuration::{Configuration, ServiceName};
-use linkhold_core::service::eligibility::{self, Ineligible, Standing, StatementBinding};
+use linkhold_core::service::eligibility::{self, EligibilityFacts, Ineligible, StatementBinding};
 use linkhold_core::service::evacuation::{EvacuationChange, ZoneName};
 use linkhold_core::service::instance::{Instance, InstanceId};
 use linkhold_core::service::primary_placement;
@@ -165,7 +165,7 @@
         engagement: StatementBinding,
     ) -> Result<(), Ineligible> {
         let zone = instances.evacuations.state(&instance.zone, Instant::now());
-        let standing = Standing {
+        let standing = EligibilityFacts {
             is_in_regions: !regions.is_restricted()
                 || regions.permits(&self.places.region(&instance.zone)),
             zone,
