--- a/crates/linkhold-core/src/service/placement.rs
+++ b/crates/linkhold-core/src/service/placement.rs
@@ -1,7 +1,7 @@
 //! Choice of the instance that serves a read.
 //!
 //! A replica that lacks what the read requires is no candidate until it may have
-//! caught up. Candidates are ordered by [`Standing`]: first those in good standing,
+//! caught up. Candidates are ordered by [`HealthRank`]: first those in good standing,
 //! then those that were full, then those that failed. Within a
 //! standing the one with the lowest expected time wins, where an instance in
 //! another region is charged [`REGION_PENALTY`]: bytes between regions are the
@@ -36,15 +36,15 @@
 
 /// How well an instance has served lately; better ones come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum HealthRank {
     /// Nothing speaks against it.
     Good,
     /// It was full a moment ago.
-    Strained,
+    Busy,
     /// It says that it has just started, and takes few requests for now.
     Cold,
     /// It is leaving, or a pause after a failure has passed and it may be tried.
-    Doubtful,
+    Suspect,
 }
 
 /// An instance that might serve a read.
@@ -63,15 +63,15 @@
 }
 
 impl Candidate<'_> {
-    fn standing(&self, now: Instant) -> Standing {
+    fn health_rank(&self, now: Instant) -> HealthRank {
         if self.health.is_failing() || self.instance.lifecycle == Lifecycle::Draining {
-            Standing::Doubtful
+            HealthRank::Suspect
         } else if self.is_cold {
-            Standing::Cold
+            HealthRank::Cold
         } else if self.health.is_busy(now) {
-            Standing::Strained
+            HealthRank::Busy
         } else {
-            Standing::Good
+            HealthRank::Good
         }
     }
 
@@ -120,7 +120,7 @@
     let is_last = candidates.len() == 1;
     candidates
         .into_iter()
-        .min_by_key(|candidate| (candidate.standing(now), candidate.expected_time()))
+        .min_by_key(|candidate| (candidate.health_rank(now), candidate.expected_time()))
         .map(|candidate| Choice {
             instance: candidate.instance,
             is_last,
