--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -12,7 +12,7 @@
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack};
 use linkhold_events::Event;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::liveness::Life;
 
 use super::quotas::{self, BudgetRequest, THOUSANDTHS};
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{Mutex as TurnMutex, oneshot};
 use tokio::time::{sleep, timeout, timeout_at};
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::liveness::{Life, Liveness};
 
 use super::coordinator::{self, Asker, BudgetAnswer, Coordination};
--- a/crates/linkhold-gateway/src/budget_world.rs
+++ b/crates/linkhold-gateway/src/budget_world.rs
@@ -20,7 +20,7 @@
     }
 
     fn limit(&self, tenant: &str) -> Option<RateLimit> {
-        let configuration = self.beliefs.configuration()?;
+        let configuration = self.cluster.configuration()?;
         configuration.tenancy.as_ref()?.limit(tenant)
     }
 
@@ -35,7 +35,7 @@
     fn view_age(&self) -> Duration {
         // A node that has just started has read the fleet and follows nobody yet.
         let own_reading = self.fleet.reading_age();
-        self.beliefs.directory_age().min(own_reading)
+        self.cluster.directory_age().min(own_reading)
     }
 
     fn life_time(&self) -> Duration {
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -1,4 +1,4 @@
-//! What this node believes about configuration, instances and freshness,
+//! State of the cluster as this node knows it: configuration, instances, freshness;
 //! shared by all its sessions. Locks are held for a few steps and never across
 //! a wait.
 
@@ -36,9 +36,9 @@
 /// start together, and a replacement takes the list of nodes, which is whole after seconds.
 const FIRST_START_TIME: Duration = Duration::from_secs(15);
 
-/// Beliefs about instances and their logs.
+/// Known state of instances and their logs.
 #[derive(Debug, Default)]
-struct InstanceBeliefs {
+struct KnownInstances {
     directory: Directory,
     health: HashMap<InstanceId, InstanceHealth>,
     evidence: HashMap<ServiceName, EvidenceLog>,
@@ -52,9 +52,9 @@
     absent: usize,
 }
 
-/// Everything a node believes.
+/// State of the cluster as this node knows it.
 #[derive(Debug)]
-pub struct Beliefs {
+pub struct ClusterState {
     places: Places,
     drain: Duration,
     /// How soon nothing may be sent to an evacuated zone any more.
@@ -65,7 +65,7 @@
     /// Where the primaries of services should stand that are bound to regions.
     primary_regions: Mutex<Arc<HashMap<ServiceName, AllowedRegions>>>,
     directory_read_at: Mutex<Option<Instant>>,
-    instances: Mutex<InstanceBeliefs>,
+    instances: Mutex<KnownInstances>,
     directory_place: Mutex<StorePlace>,
     /// Terms in which logs were proved to end after another one, newest of each service; the
     /// store is to keep them.
@@ -81,7 +81,7 @@
     pub(crate) permission: OwnPermission,
 }
 
-impl Beliefs {
+impl ClusterState {
     /// Nothing is known.
     pub fn new(settings: &GatewaySettings) -> Self {
         Self {
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -14,9 +14,9 @@
 use linkhold_core::service::store_place::StorePlace;
 use linkhold_events::Event;
 
-use super::{Beliefs, InstanceBeliefs, lock};
+use super::{ClusterState, KnownInstances, lock};
 
-impl Beliefs {
+impl ClusterState {
     /// Takes in the regions that a configuration binds to.
     pub(super) fn adopt_regions(&self, configuration: &Configuration) {
         self.log_unknown_regions(configuration);
@@ -159,7 +159,7 @@
 
     pub(super) fn eligibility_in(
         &self,
-        instances: &InstanceBeliefs,
+        instances: &KnownInstances,
         instance: &Instance,
         regions: &AllowedRegions,
         engagement: Engagement,
--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/cluster_state/primaries.rs
@@ -11,9 +11,9 @@
 use linkhold_core::service::withholding::WITHHOLDING;
 use linkhold_events::Event;
 
-use super::{Beliefs, InstanceBeliefs, lock};
+use super::{ClusterState, KnownInstances, lock};
 
-impl Beliefs {
+impl ClusterState {
     /// The believed primary.
     pub fn primary(&self, service: &str) -> Option<Arc<Instance>> {
         lock(&self.instances).directory.primary(service).cloned()
@@ -83,7 +83,7 @@
         lock(&self.instances).terms.get(service).copied()
     }
 
-    fn may_use_primary(&self, known: &InstanceBeliefs, primary: &Instance, now: Instant) -> bool {
+    fn may_use_primary(&self, known: &KnownInstances, primary: &Instance, now: Instant) -> bool {
         let is_withheld = known
             .withholdings
             .holds(&primary.id, now, known.directory_as_of);
--- a/crates/linkhold-gateway/src/confirmation.rs
+++ b/crates/linkhold-gateway/src/confirmation.rs
@@ -28,7 +28,7 @@
 
 /// This node's answer to a question for a confirmation.
 pub(crate) fn answer<P: Platform>(gateway: &Gateway<P>, number: u64) -> ReachabilityMessage {
-    let agreed = gateway.beliefs.permission.confirm();
+    let agreed = gateway.cluster.permission.confirm();
     ReachabilityMessage::ConfirmationAnswer {
         number,
         agreed: agreed.filter(|subjects| subjects.len() <= MOST_SUBJECTS),
@@ -39,14 +39,14 @@
 pub(crate) async fn keep_confirmed<P: Platform>(gateway: Arc<Gateway<P>>) {
     loop {
         let asks = !gateway.sources.is_following();
-        if !asks || !gateway.beliefs.permission.needs_confirmation() {
+        if !asks || !gateway.cluster.permission.needs_confirmation() {
             sleep(LOOK_INTERVAL).await;
             continue;
         }
         let asked_at = Instant::now();
         if is_confirmed(&gateway).await {
-            let agreed = gateway.beliefs.permission.agreed();
-            gateway.beliefs.permission.confirmed(asked_at, &agreed);
+            let agreed = gateway.cluster.permission.agreed();
+            gateway.cluster.permission.confirmed(asked_at, &agreed);
             gateway.followers.confirmed(asked_at);
         }
         sleep(CONFIRMATION_INTERVAL.saturating_sub(asked_at.elapsed())).await;
@@ -79,7 +79,7 @@
             continue;
         };
         pending.swap_remove(index);
-        let permission = &gateway.beliefs.permission;
+        let permission = &gateway.cluster.permission;
         if agreed.is_some_and(|agreed| permission.knows(&agreed)) {
             confirmed += 1;
         }
--- a/crates/linkhold-gateway/src/evidence/lead_proof.rs
+++ b/crates/linkhold-gateway/src/evidence/lead_proof.rs
@@ -26,13 +26,13 @@
     gateway: &Gateway<P>,
     primary: &Arc<Instance>,
 ) -> Result<(), NotRunCause> {
-    if !gateway.beliefs.needs_lead_proof(&primary.id) {
+    if !gateway.cluster.needs_lead_proof(&primary.id) {
         return unless_denied(gateway, primary);
     }
     let turn = gateway.lead_proofs.turn(&primary.service);
     let mut last_silent = turn.lock().await;
     // Somebody else may have asked meanwhile.
-    if !gateway.beliefs.needs_lead_proof(&primary.id) {
+    if !gateway.cluster.needs_lead_proof(&primary.id) {
         return unless_denied(gateway, primary);
     }
     if gateway.lead_records.of(&primary.service).is_none() {
@@ -42,14 +42,14 @@
     if let Some(cause) = last_silent.as_ref().and_then(SilentRound::present_cause) {
         return Err(cause);
     }
-    let instances = gateway.beliefs.instances(&primary.service);
+    let instances = gateway.cluster.instances(&primary.service);
     let statuses = survey::statuses_by_any_way(gateway, &instances).await;
     for status in &statuses {
-        gateway.beliefs.term_seen(&primary.service, status.term);
+        gateway.cluster.term_seen(&primary.service, status.term);
     }
     match judge(gateway, primary, &statuses).await {
         LeadVerdict::Leads => {
-            gateway.beliefs.prove_lead(&primary.id);
+            gateway.cluster.prove_lead(&primary.id);
             Ok(())
         }
         LeadVerdict::Silent => {
@@ -66,7 +66,7 @@
 }
 
 fn unless_denied<P: Platform>(gateway: &Gateway<P>, primary: &Instance) -> Result<(), NotRunCause> {
-    if gateway.beliefs.is_denied(&primary.id) {
+    if gateway.cluster.is_denied(&primary.id) {
         return Err(NotRunCause::Refused(BackendErrorKind::ReadOnly));
     }
     Ok(())
--- a/crates/linkhold-gateway/src/evidence/mod.rs
+++ b/crates/linkhold-gateway/src/evidence/mod.rs
@@ -5,7 +5,7 @@
 //! * [`lead_proof`] makes sure that a primary was not replaced unseen;
 //! * [`survey`] talks to instances: it keeps nothing and decides nothing.
 //!
-//! What is proved is kept in [`crate::beliefs`].
+//! What is proved is kept in [`crate::cluster_state`].
 
 pub(crate) mod lead_proof;
 pub(crate) mod probe;
--- a/crates/linkhold-gateway/src/evidence/probe.rs
+++ b/crates/linkhold-gateway/src/evidence/probe.rs
@@ -35,10 +35,10 @@
     moment: Instant,
     deadline: Instant,
 ) -> Option<Position> {
-    let mut changes = gateway.beliefs.subscribe();
+    let mut changes = gateway.cluster.subscribe();
     loop {
         changes.mark_unchanged();
-        if let Some(position) = gateway.beliefs.fence(service, moment) {
+        if let Some(position) = gateway.cluster.fence(service, moment) {
             return Some(position);
         }
         ask_in_background(gateway, service, moment);
@@ -70,7 +70,7 @@
             sharing::ask_reader(&gateway, &service, moment).await
         };
         match shared {
-            Some(sample) => gateway.beliefs.record_evidence(&service, sample),
+            Some(sample) => gateway.cluster.record_evidence(&service, sample),
             None => ask_primary(&gateway, &service, moment).await,
         }
         gateway.questions.end(&service);
@@ -80,9 +80,9 @@
 /// Whether this node is one of those that own the connections to a primary.
 fn owns_primary<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> bool {
     gateway
-        .beliefs
+        .cluster
         .primary(service)
-        .and_then(|primary| gateway.pools.owners_of(&primary, &gateway.beliefs))
+        .and_then(|primary| gateway.pools.owners_of(&primary, &gateway.cluster))
         .is_some_and(|owners| owners.includes_self)
 }
 
@@ -92,17 +92,17 @@
     moment: Instant,
 ) {
     let started = Instant::now();
-    let Some(primary) = gateway.beliefs.usable_primary(service, started) else {
-        // The next change of beliefs asks again.
+    let Some(primary) = gateway.cluster.usable_primary(service, started) else {
+        // The next change of the cluster state asks again.
         tokio::time::sleep(Duration::from_millis(20)).await;
         return;
     };
-    if let Some(owners) = gateway.pools.owners_of(&primary, &gateway.beliefs)
+    if let Some(owners) = gateway.pools.owners_of(&primary, &gateway.cluster)
         && !owners.includes_self
         && let Some(sample) = forward::ask_evidence(gateway, &owners, &primary, moment).await
     {
         // The owner has proved that it leads.
-        gateway.beliefs.prove_lead(&primary.id);
+        gateway.cluster.prove_lead(&primary.id);
         gateway.primary_proved(&primary, sample);
         return;
     }
@@ -111,7 +111,7 @@
         return;
     }
     let deadline = tokio::time::Instant::from_std(started + QUESTION_TIMEOUT);
-    let pool = gateway.pools.pool(&primary, &gateway.beliefs);
+    let pool = gateway.pools.pool(&primary, &gateway.cluster);
     let urgency = Urgency {
         is_read: false,
         priority: 0,
@@ -132,7 +132,7 @@
     let Ok(mut lease) = checkout else {
         return;
     };
-    let proved = gateway.beliefs.newest_position(service);
+    let proved = gateway.cluster.newest_position(service);
     let sent_at = Instant::now();
     let commands = [
         Command::Begin {
--- a/crates/linkhold-gateway/src/evidence/sharing.rs
+++ b/crates/linkhold-gateway/src/evidence/sharing.rs
@@ -64,7 +64,7 @@
         .unwrap_or(received_at);
     let deadline = received_at + ANSWER_TIMEOUT;
     let covered = probe::fence(gateway, &question.service, moment, deadline).await;
-    let newest = covered.and_then(|_| gateway.beliefs.latest_sample(&question.service));
+    let newest = covered.and_then(|_| gateway.cluster.latest_sample(&question.service));
     let age = newest.map_or(Duration::ZERO, |sample| age_at(received_at, sample.sent_at));
     EvidenceAnswer {
         number: question.number,
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -25,7 +25,7 @@
     gateway: &Gateway<P>,
     service: &ServiceName,
 ) -> Option<Trouble> {
-    let Some(primary) = gateway.beliefs.primary(service) else {
+    let Some(primary) = gateway.cluster.primary(service) else {
         return Some(Trouble::Unknown);
     };
     let audience = Audience::for_look(gateway, service);
@@ -37,7 +37,7 @@
         &audience,
     );
     let is_failing = gateway
-        .beliefs
+        .cluster
         .inspect(&primary.id, |health| health.is_failing())
         .unwrap_or(false);
     if !is_failing && !gateway.watches(service) {
@@ -56,14 +56,14 @@
         Reachability::Reached => {
             gateway.relays.forget(&primary.id);
             gateway.instance_answered(&primary.id, Duration::ZERO, None);
-            if gateway.beliefs.is_leaving(&primary.id, Instant::now()) {
+            if gateway.cluster.is_leaving(&primary.id, Instant::now()) {
                 return Some(Trouble::Leaving);
             }
-            let misplaced = gateway.beliefs.is_primary_misplaced(service);
+            let misplaced = gateway.cluster.is_primary_misplaced(service);
             misplaced.then_some(Trouble::Misplaced)
         }
         Reachability::NotPrimary => {
-            gateway.beliefs.deny_primary(&primary.id);
+            gateway.cluster.deny_primary(&primary.id);
             Some(Trouble::Unknown)
         }
         Reachability::Unreached => {
@@ -132,13 +132,13 @@
     let subject = QuestionSubject::PrimaryOf(service.to_string());
     let purpose = QuestionPurpose::Look;
     let findings = peers::ask(gateway, rand::random(), subject, purpose, &audience).await;
-    let present = gateway.beliefs.primary(service);
+    let present = gateway.cluster.primary(service);
     let is_news = |id: &&InstanceId| present.as_ref().is_none_or(|primary| primary.id != **id);
     let Some(leader) = findings.leaders.iter().find(is_news) else {
         return false;
     };
     gateway
-        .beliefs
+        .cluster
         .confirm_primary(leader, PrimarySource::Asked);
     true
 }
@@ -217,7 +217,7 @@
     match ask_to_agree(gateway, &instance.service, subject).await {
         Ok(agreement) => {
             for question in &agreement.questions {
-                gateway.beliefs.withhold(&instance.id, question.number);
+                gateway.cluster.withhold(&instance.id, question.number);
             }
             Some(agreement)
         }
@@ -245,7 +245,7 @@
         }
     };
     let number = rand::random();
-    gateway.beliefs.permission.agree(&subject, number);
+    gateway.cluster.permission.agree(&subject, number);
     let instance = match &subject {
         QuestionSubject::Instance(id) => id.clone(),
         QuestionSubject::PrimaryOf(_) => "any".to_owned(),
@@ -321,7 +321,7 @@
     situation: &Situation,
 ) -> Option<Agreement> {
     let service = &situation.service;
-    if !gateway.beliefs.is_directory_settled(Instant::now()) {
+    if !gateway.cluster.is_directory_settled(Instant::now()) {
         log_withheld(service, "directory_not_settled");
         return None;
     }
--- a/crates/linkhold-gateway/src/failover/misplaced.rs
+++ b/crates/linkhold-gateway/src/failover/misplaced.rs
@@ -34,10 +34,10 @@
     /// Services that this node is to look after now.
     pub fn due<P: Platform>(&mut self, gateway: &Gateway<P>) -> Vec<ServiceName> {
         let now = Instant::now();
-        let services = gateway.beliefs.services();
+        let services = gateway.cluster.services();
         let misplaced: Vec<ServiceName> = services
             .into_iter()
-            .filter(|service| gateway.beliefs.is_primary_misplaced(service))
+            .filter(|service| gateway.cluster.is_primary_misplaced(service))
             .collect();
         self.turns.retain(|service, _| misplaced.contains(service));
         let is_due = |service: &ServiceName| {
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -86,7 +86,7 @@
 
 fn services_with_leaving_primary<P: Platform>(gateway: &Gateway<P>) -> Vec<ServiceName> {
     let now = Instant::now();
-    gateway.beliefs.services_without_lasting_primary(now)
+    gateway.cluster.services_without_lasting_primary(now)
 }
 
 /// What is wrong with a service's primary.
@@ -144,7 +144,7 @@
 
 fn primary_id<P: Platform>(gateway: &Gateway<P>, service: &str) -> Option<InstanceId> {
     gateway
-        .beliefs
+        .cluster
         .primary(service)
         .map(|primary| primary.id.clone())
 }
@@ -169,12 +169,12 @@
 
 fn needs_care<P: Platform>(gateway: &Gateway<P>, service: &str) -> bool {
     let now = Instant::now();
-    match gateway.beliefs.primary(service) {
+    match gateway.cluster.primary(service) {
         None => true,
         Some(primary) => {
-            gateway.beliefs.is_leaving(&primary.id, now)
+            gateway.cluster.is_leaving(&primary.id, now)
                 || gateway
-                    .beliefs
+                    .cluster
                     .inspect(&primary.id, |health| health.is_failing())
                     .unwrap_or(false)
         }
--- a/crates/linkhold-gateway/src/failover/order.rs
+++ b/crates/linkhold-gateway/src/failover/order.rs
@@ -181,12 +181,12 @@
     successor: &InstanceId,
 ) {
     let deadline = Instant::now() + LEAD_TIMEOUT;
-    let mut changes = gateway.beliefs.subscribe();
+    let mut changes = gateway.cluster.subscribe();
     let mut ask_at = Instant::now() + LEAD_QUESTION_INTERVAL;
     while Instant::now() < deadline {
         changes.mark_unchanged();
         if gateway
-            .beliefs
+            .cluster
             .primary(service)
             .is_some_and(|primary| primary.id == *successor)
         {
@@ -194,13 +194,13 @@
         }
         if Instant::now() >= ask_at {
             ask_at = Instant::now() + LEAD_QUESTION_INTERVAL;
-            let Some(instance) = gateway.beliefs.instance(successor) else {
+            let Some(instance) = gateway.cluster.instance(successor) else {
                 return;
             };
             let status = survey::status(gateway, &instance).await;
             if status.is_some_and(|status| status.role == Role::Primary) {
                 gateway
-                    .beliefs
+                    .cluster
                     .confirm_primary(successor, PrimarySource::Promoted);
                 return;
             }
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -88,7 +88,7 @@
     successor: &InstanceStatus,
     grounds: Grounds,
 ) {
-    let (Some(old), Some(instance)) = (&situation.old, gateway.beliefs.instance(&successor.id))
+    let (Some(old), Some(instance)) = (&situation.old, gateway.cluster.instance(&successor.id))
     else {
         return;
     };
@@ -205,16 +205,16 @@
 }
 
 async fn survey_service<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> Situation {
-    let old = gateway.beliefs.primary(service);
+    let old = gateway.cluster.primary(service);
     let others: Vec<Arc<Instance>> = gateway
-        .beliefs
+        .cluster
         .instances(service)
         .into_iter()
         .filter(|instance| old.as_ref().is_none_or(|old| old.id != instance.id))
         .collect();
     let statuses = survey::statuses(gateway, &others).await;
     for status in &statuses {
-        gateway.beliefs.term_seen(service, status.term);
+        gateway.cluster.term_seen(service, status.term);
     }
     Situation {
         service: service.clone(),
@@ -231,13 +231,13 @@
     let Some(claimant) = claimant(gateway, service, &situation.statuses) else {
         return false;
     };
-    let Some(instance) = gateway.beliefs.instance(&claimant.id) else {
+    let Some(instance) = gateway.cluster.instance(&claimant.id) else {
         return false;
     };
     let verdict = lead_proof::judge(gateway, &instance, &situation.statuses).await;
     if verdict == LeadVerdict::Leads {
         gateway
-            .beliefs
+            .cluster
             .confirm_primary(&claimant.id, PrimarySource::Asked);
         return true;
     }
@@ -253,13 +253,13 @@
     statuses: &'a [InstanceStatus],
 ) -> Option<&'a InstanceStatus> {
     let has_told = |id: &InstanceId| statuses.iter().any(|status| status.id == *id);
-    let claimants = gateway.beliefs.claimants(service);
+    let claimants = gateway.cluster.claimants(service);
     if claimants.len() > 1 && !claimants.iter().all(has_told) {
         return None;
     }
-    let newest = gateway.beliefs.newest_term(service)?;
+    let newest = gateway.cluster.newest_term(service)?;
     // One that started again holds nothing, and may say that it leads all the same.
-    let proved = gateway.beliefs.newest_position(service);
+    let proved = gateway.cluster.newest_position(service);
     let holds_proved = |status: &&InstanceStatus| Some(status.received) >= proved;
     statuses
         .iter()
@@ -276,7 +276,7 @@
 ) -> Option<Successor> {
     let now = Instant::now();
     let synchronous = gateway
-        .beliefs
+        .cluster
         .limits(service)
         .map_or(0, |limits| limits.synchronous_replicas);
     let required = failover::statuses_required(situation.others.len(), synchronous);
@@ -287,9 +287,9 @@
         .filter(|status| failover::is_current(status, evidence))
         .map(|status| Successor {
             status: status.clone(),
-            is_leaving: gateway.beliefs.is_leaving(&status.id, now),
+            is_leaving: gateway.cluster.is_leaving(&status.id, now),
             is_well_placed: is_well_placed(gateway, &status.id),
-            is_warm: !gateway.beliefs.is_cold(&status.id),
+            is_warm: !gateway.cluster.is_cold(&status.id),
         })
         // A primary that serves is replaced only by one that is to stay.
         .filter(|it| trouble != Trouble::Misplaced || it.is_well_placed && !it.is_leaving)
@@ -316,14 +316,14 @@
 
 /// Where a log has to end at least to lack nothing of a newer term than its own.
 fn newest_evidence<P: Platform>(gateway: &Gateway<P>, service: &str) -> Option<Position> {
-    let proved_term = gateway.beliefs.newest_proved_term(service);
+    let proved_term = gateway.cluster.newest_proved_term(service);
     let start_of_term = proved_term.map(|term| Position { term, index: 0 });
-    start_of_term.max(gateway.beliefs.newest_position(service))
+    start_of_term.max(gateway.cluster.newest_position(service))
 }
 
 fn is_well_placed<P: Platform>(gateway: &Gateway<P>, id: &InstanceId) -> bool {
-    let instance = gateway.beliefs.instance(id);
-    instance.is_some_and(|instance| gateway.beliefs.is_well_placed(&instance))
+    let instance = gateway.cluster.instance(id);
+    instance.is_some_and(|instance| gateway.cluster.is_well_placed(&instance))
 }
 
 /// Whether an instance says that it leads, and nothing is known of a newer term.
@@ -332,7 +332,7 @@
     instance: &Instance,
     status: &InstanceStatus,
 ) -> bool {
-    let newest = gateway.beliefs.newest_term(&instance.service);
+    let newest = gateway.cluster.newest_term(&instance.service);
     status.role == Role::Primary && Some(status.term) >= newest
 }
 
@@ -348,7 +348,7 @@
     let present = survey::status(gateway, old).await?;
     // A node that stood still during another's hand-over did it once more when it woke,
     // from the old primary's log: 3 to 5 commits of the new one were undone.
-    if !gateway.beliefs.permission.holds() {
+    if !gateway.cluster.permission.holds() {
         return None;
     }
     if !leads_newest_term(gateway, old, &present) {
@@ -357,7 +357,7 @@
     }
     // One that is misplaced does not end by itself: it waits for its successor.
     let leaving_for = match trouble {
-        Trouble::Leaving => gateway.beliefs.leaving_for(&old.id, Instant::now())?,
+        Trouble::Leaving => gateway.cluster.leaving_for(&old.id, Instant::now())?,
         Trouble::Unknown | Trouble::Lost | Trouble::Misplaced => Duration::ZERO,
     };
     let drain = gateway.settings.drain;
@@ -371,7 +371,7 @@
     }
     let term = Term(successor.term.max(present.term).0 + 1);
     let ended = survey::step_down(gateway, old, term).await?;
-    gateway.beliefs.deny_primary(&old.id);
+    gateway.cluster.deny_primary(&old.id);
     Some(ended)
 }
 
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -68,7 +68,7 @@
 fn wanted<P: Platform>(gateway: &Gateway<P>) -> BTreeSet<ServiceName> {
     let node = &gateway.settings.node;
     let era = gateway.store_era.known();
-    let services = gateway.beliefs.services().into_iter();
+    let services = gateway.cluster.services().into_iter();
     services
         .filter(|service| gateway.fleet.is_first(node, service))
         .filter(|service| !gateway.leases.holds(service, node, era))
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -34,7 +34,7 @@
 pub(crate) async fn keep_lead_records<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut known: BTreeMap<ServiceName, Risen> = BTreeMap::new();
     loop {
-        for (service, term) in gateway.beliefs.take_risen_terms() {
+        for (service, term) in gateway.cluster.take_risen_terms() {
             known.insert(
                 service,
                 Risen {
@@ -50,7 +50,7 @@
             }
         }
         // Time passing is as good a reason to look again as a new term.
-        let _ = timeout(RETRY_INTERVAL, gateway.beliefs.term_risen()).await;
+        let _ = timeout(RETRY_INTERVAL, gateway.cluster.term_risen()).await;
     }
 }
 
@@ -58,8 +58,8 @@
 /// primary's connections, which sees its log, or the first of all nodes where each has its
 /// own.
 fn is_recorder<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> bool {
-    let primary = gateway.beliefs.primary(service);
-    let owners = primary.and_then(|it| gateway.pools.owners_of(&it, &gateway.beliefs));
+    let primary = gateway.cluster.primary(service);
+    let owners = primary.and_then(|it| gateway.pools.owners_of(&it, &gateway.cluster));
     match owners {
         Some(owners) => owners.rank() == Some(0),
         None => gateway.fleet.rank(&gateway.settings.node, service) == 0,
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -18,7 +18,7 @@
 
 use super::framing::{read_length, write_message};
 use super::told::{ToldFleet, ToldInstances};
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::confirmation::CONFIRMATION_INTERVAL;
 use crate::fleet;
 use crate::gateway::Gateway;
@@ -150,7 +150,7 @@
 
 /// Whoever goes on by confirmations alone asks for them often.
 fn renewal_interval<P: Platform>(gateway: &Gateway<P>) -> Duration {
-    if gateway.beliefs.permission.needs_confirmation() {
+    if gateway.cluster.permission.needs_confirmation() {
         CONFIRMATION_INTERVAL
     } else {
         FOLLOWER_RENEWAL
@@ -230,7 +230,7 @@
     /// for so long that it may speak for no primary any more.
     fn is_not_listed(&self, now: Instant) -> bool {
         let had_time = now.saturating_duration_since(self.followed_at) > LISTING_PATIENCE;
-        had_time && !self.gateway.beliefs.permission.holds()
+        had_time && !self.gateway.cluster.permission.holds()
     }
 
     /// The reader has a row written that lists this node.
@@ -238,7 +238,7 @@
         let Some(sent_at) = lock(self.renewals).confirmed(number) else {
             return Ok(());
         };
-        let permission = &self.gateway.beliefs.permission;
+        let permission = &self.gateway.cluster.permission;
         match (permission.renewed(sent_at), claims) {
             (Renewed::Continued, _) => Ok(()),
             (Renewed::ToBeAdmitted, Some(claims)) => {
@@ -253,7 +253,7 @@
     /// Enough nodes confirmed to the reader that it may go on.
     fn confirmed(&self, number: u64, agreed: &[String]) {
         if let Some(sent_at) = lock(self.renewals).confirmed(number) {
-            self.gateway.beliefs.permission.confirmed(sent_at, agreed);
+            self.gateway.cluster.permission.confirmed(sent_at, agreed);
         }
     }
 
@@ -317,13 +317,13 @@
         }
         self.fleet.adopt(self.gateway);
         self.instances.adopt(self.gateway);
-        self.gateway.beliefs.directory_read();
+        self.gateway.cluster.directory_read();
         // Time on the way makes this too late, by less than the bound leaves.
         if let Some(moment) = now.checked_sub(age) {
-            self.gateway.beliefs.evacuations_vouched(moment);
+            self.gateway.cluster.evacuations_vouched(moment);
         }
         if let Some(moment) = self.moment_of(list) {
-            self.gateway.beliefs.directory_vouched(moment);
+            self.gateway.cluster.directory_vouched(moment);
         }
         let silent_at = now + (freshness.trust - age);
         *self.trusted_until = silent_at;
@@ -343,11 +343,11 @@
 fn adopt<P: Platform>(gateway: &Gateway<P>, message: FeedMessage) {
     match message {
         FeedMessage::Configuration(configuration) => {
-            gateway.beliefs.adopt_configuration(configuration);
+            gateway.cluster.adopt_configuration(configuration);
         }
         FeedMessage::Evacuations(known) => {
-            let beliefs = &gateway.beliefs;
-            beliefs.replace_evacuations(known.zones, known.place, Instant::now());
+            let cluster = &gateway.cluster;
+            cluster.replace_evacuations(known.zones, known.place, Instant::now());
         }
         // A beat vouches only, instances and the fleet are kept apart; a follower has no
         // use for the others.
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -14,7 +14,7 @@
 };
 
 use super::framing::{Frame, frame};
-use crate::beliefs::{Beliefs, lock};
+use crate::cluster_state::{ClusterState, lock};
 use crate::state::Fleet;
 
 /// How long an encoded fleet is told before it is looked whether it has changed.
@@ -49,14 +49,14 @@
         &self,
         revision: u64,
         told: Option<&Arc<InstanceSnapshot>>,
-        beliefs: &Beliefs,
+        cluster: &ClusterState,
         key: &PeerKey,
     ) -> (Arc<InstanceSnapshot>, Option<Frame>) {
         let mut frames = lock(&self.instances);
         let is_known = |present: &Arc<InstanceSnapshot>| present.revision == revision;
         let present = match frames.present.clone().filter(is_known) {
             Some(present) => present,
-            None => frames.replace(InstanceSnapshot::take(revision, beliefs)),
+            None => frames.replace(InstanceSnapshot::take(revision, cluster)),
         };
         let frame = frames.frame_since(told, &present, key);
         (present, frame)
@@ -157,10 +157,10 @@
 }
 
 impl InstanceSnapshot {
-    fn take(revision: u64, beliefs: &Beliefs) -> Self {
+    fn take(revision: u64, cluster: &ClusterState) -> Self {
         // Read first: what is listed may be newer than that, never older.
-        let place = beliefs.directory_place();
-        let instances = beliefs.all_instances().into_iter();
+        let place = cluster.directory_place();
+        let instances = cluster.all_instances().into_iter();
         Self {
             revision,
             place,
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -154,7 +154,7 @@
     key: &PeerKey,
 ) {
     wait_for_first_answers(gateway).await;
-    let mut changes = gateway.beliefs.subscribe_to_lists();
+    let mut changes = gateway.cluster.subscribe_to_lists();
     let mut told = Told::default();
     let mut is_listed = false;
     let mut looked_at = Instant::now();
@@ -212,7 +212,7 @@
     gateway: &Gateway<P>,
     arrival: &watch::Receiver<Option<Arrival>>,
 ) -> Option<ListMoment> {
-    let moment = gateway.beliefs.directory_as_of()?;
+    let moment = gateway.cluster.directory_as_of()?;
     let process = arrival.borrow().as_ref()?.process.clone();
     let (renewal, heard_at) = gateway.followers.last_renewal(&process)?;
     Some(ListMoment::new(moment, renewal, heard_at))
@@ -269,7 +269,7 @@
     let confirmed = gateway.followers.take_confirmed(&arrival.process);
     let confirmed = confirmed.map(|number| FeedMessage::Confirmed {
         number,
-        agreed: gateway.beliefs.permission.agreed(),
+        agreed: gateway.cluster.permission.agreed(),
     });
     let messages = listed.into_iter().chain(confirmed);
     messages
@@ -294,25 +294,25 @@
     let frames = &gateway.feed_frames;
     let mut news = Vec::new();
     // None at all is what a follower starts with, unless another reader told it some.
-    let (evacuated, as_of) = gateway.beliefs.evacuations();
+    let (evacuated, as_of) = gateway.cluster.evacuations();
     let has_told = told.revision.is_some();
     if evacuated != told.evacuated || !has_told && as_of != StorePlace::default() {
         let frame = frames.evacuations(&evacuated, as_of, key);
         news.push((FeedKind::Evacuations, frame));
         told.evacuated = evacuated;
     }
-    if let Some(configuration) = gateway.beliefs.configuration()
+    if let Some(configuration) = gateway.cluster.configuration()
         && configuration.version > told.version
     {
         told.version = configuration.version;
         let frame = frames.configuration(&configuration, key);
         news.push((FeedKind::Configuration, frame));
     }
-    let revision = gateway.beliefs.lists_revision();
+    let revision = gateway.cluster.lists_revision();
     if told.revision != Some(revision) {
         told.revision = Some(revision);
         let (present, frame) =
-            frames.instances(revision, told.instances.as_ref(), &gateway.beliefs, key);
+            frames.instances(revision, told.instances.as_ref(), &gateway.cluster, key);
         told.instances = Some(present);
         news.extend(frame.map(|frame| (FeedKind::Instances, frame)));
     }
--- a/crates/linkhold-gateway/src/feed/told.rs
+++ b/crates/linkhold-gateway/src/feed/told.rs
@@ -95,25 +95,25 @@
         .filter(|(_, is_listed)| *is_listed)
         .map(|(instance, _)| instance);
     gateway
-        .beliefs
+        .cluster
         .replace_instances(listed.collect(), known.place, Instant::now());
 }
 
 fn adopt_instance_changes<P: Platform>(gateway: &Gateway<P>, changes: FeedInstanceChanges) {
-    let beliefs = &gateway.beliefs;
+    let cluster = &gateway.cluster;
     gateway.store_era.seen(changes.place.era());
-    if !beliefs.advance_directory(changes.place) {
+    if !cluster.advance_directory(changes.place) {
         return;
     }
     let now = Instant::now();
     for (instance, is_listed) in changes.changed {
         if is_listed {
-            beliefs.announce_instance(instance, now);
+            cluster.announce_instance(instance, now);
         } else {
-            beliefs.vanish_instance(instance.id.name(), now);
+            cluster.vanish_instance(instance.id.name(), now);
         }
     }
     for id in changes.gone {
-        beliefs.vanish_life(&id, now);
+        cluster.vanish_life(&id, now);
     }
 }
--- a/crates/linkhold-gateway/src/fleet.rs
+++ b/crates/linkhold-gateway/src/fleet.rs
@@ -183,6 +183,6 @@
             .field("previous", change.previous_size)
             .log();
     }
-    gateway.pools.set_nodes(size, &gateway.beliefs);
+    gateway.pools.set_nodes(size, &gateway.cluster);
     change.has_changed
 }
--- a/crates/linkhold-gateway/src/followers.rs
+++ b/crates/linkhold-gateway/src/followers.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::lease_format::KnownClaims;
 use crate::registry::{MOST_FOLLOWERS, Process, Registration};
 
--- a/crates/linkhold-gateway/src/forward/link.rs
+++ b/crates/linkhold-gateway/src/forward/link.rs
@@ -17,7 +17,7 @@
 use tokio::time::{timeout, timeout_at};
 
 use super::translate;
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::feed::framing::{framed, read_body, write_message};
 
 /// How long connecting to an owner may take.
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -21,7 +21,7 @@
 
 use super::link::read_forward;
 use super::{session_values, translate};
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::evidence::sharing;
 use crate::feed::framing::framed;
 use crate::gate::Urgency;
@@ -111,7 +111,7 @@
     let mut ticks = interval(REST_INTERVAL);
     loop {
         ticks.tick().await;
-        let configuration = gateway.beliefs.configuration();
+        let configuration = gateway.cluster.configuration();
         let limit = configuration.and_then(|it| it.transaction_idle_timeout);
         lent.take_back_after(limit.unwrap_or_default() + LONGEST_REST);
     }
@@ -135,7 +135,7 @@
             instance,
         } => {
             let is_believed = |id: &String| {
-                let primary = gateway.beliefs.primary(&service);
+                let primary = gateway.cluster.primary(&service);
                 primary.is_some_and(|primary| *primary.id.0 == **id)
             };
             if !instance.as_ref().is_none_or(is_believed) {
@@ -202,7 +202,7 @@
     statement: &ForwardStatement,
 ) -> ForwardOutcome {
     let id = InstanceId(statement.instance.as_str().into());
-    let Some(instance) = gateway.beliefs.instance(&id) else {
+    let Some(instance) = gateway.cluster.instance(&id) else {
         return ForwardOutcome::NotOwner;
     };
     if gateway.is_leaving() || !owns(gateway, &instance) {
@@ -244,7 +244,7 @@
 /// Whether this node takes statements for an instance: as an owner, or since all
 /// nodes hold connections.
 fn owns<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
-    let owners = gateway.pools.owners_of(instance, &gateway.beliefs);
+    let owners = gateway.pools.owners_of(instance, &gateway.cluster);
     owners.is_none_or(|owners| owners.includes_self)
 }
 
--- a/crates/linkhold-gateway/src/gate.rs
+++ b/crates/linkhold-gateway/src/gate.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// Rank of a request in queues; the lowest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 use crate::admission::Quotas;
-use crate::beliefs::{Beliefs, lock};
+use crate::cluster_state::{ClusterState, lock};
 use crate::feed::frames::FeedFrames;
 use crate::followers::Followers;
 use crate::lease_format::HeldLeases;
@@ -38,7 +38,7 @@
     /// How fresh it keeps what it knows of the store.
     pub(crate) freshness: Freshness,
     /// What it believes.
-    pub beliefs: Beliefs,
+    pub cluster: ClusterState,
     /// Its connections to instances.
     pub pools: Pools<<P as BackendConnector>::Connection>,
     /// What it counts.
@@ -98,7 +98,7 @@
     pub fn new(platform: Arc<P>, settings: GatewaySettings) -> Arc<Self> {
         Arc::new(Self {
             platform,
-            beliefs: Beliefs::new(&settings),
+            cluster: ClusterState::new(&settings),
             pools: Pools::new(&settings),
             freshness: Freshness::for_bound(settings.change_bound.min(settings.evacuation_bound)),
             settings,
@@ -128,14 +128,14 @@
 
     /// Whether new sessions should come here.
     pub fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.beliefs.can_serve()
+        !self.is_leaving() && self.cluster.can_serve()
     }
 
     /// How long the store holds a question for changes.
     pub(crate) fn store_wait(&self) -> Duration {
         let may_be_followed = self.fleet.has_readers() || !self.fleet.is_settled();
         // What was agreed to ends with news of the instances.
-        let awaits_news = self.beliefs.withholds_any();
+        let awaits_news = self.cluster.withholds_any();
         if may_be_followed || awaits_news || self.followers.served() > 0 {
             self.freshness.wait
         } else {
@@ -179,10 +179,10 @@
     pub(crate) fn instance_failed(&self, instance: &Instance, reason: &'static str) {
         let now = Instant::now();
         let was_failing = self
-            .beliefs
+            .cluster
             .inspect(&instance.id, |health| health.is_failing())
             .unwrap_or(false);
-        self.beliefs
+        self.cluster
             .observe(&instance.id, |health| health.failed(now));
         self.pools.close_idle(&instance.id);
         self.warm_ups.doubted(&instance.id);
@@ -207,7 +207,7 @@
         position: Option<Position>,
     ) {
         let now = Instant::now();
-        self.beliefs.observe(id, |health| {
+        self.cluster.observe(id, |health| {
             health.succeeded(now, took);
             if let Some(position) = position {
                 health.holds(position);
@@ -217,8 +217,8 @@
 
     /// An instance refused work that only a primary takes.
     pub(crate) fn instance_denied_primary(&self, instance: &Instance) {
-        self.beliefs.deny_primary(&instance.id);
-        if self.beliefs.primary(&instance.service).is_none() {
+        self.cluster.deny_primary(&instance.id);
+        if self.cluster.primary(&instance.service).is_none() {
             self.attention.suspect(&instance.service);
         }
     }
@@ -230,9 +230,9 @@
         if self.is_outdated(instance, Some(sample.position)) {
             return;
         }
-        let is_replaced = self.beliefs.is_replaced(instance);
-        if !is_replaced && self.beliefs.may_speak_for(instance, sample.sent_at) {
-            self.beliefs.record_evidence(&instance.service, sample);
+        let is_replaced = self.cluster.is_replaced(instance);
+        if !is_replaced && self.cluster.may_speak_for(instance, sample.sent_at) {
+            self.cluster.record_evidence(&instance.service, sample);
         }
     }
 
@@ -240,7 +240,7 @@
     /// ends in an older term than another primary's did. It is not believed to lead any
     /// more.
     pub(crate) fn is_outdated(&self, instance: &Instance, position: Option<Position>) -> bool {
-        let newest = self.beliefs.newest_proved_term(&instance.service);
+        let newest = self.cluster.newest_proved_term(&instance.service);
         let is_outdated = position.is_some_and(|position| Some(position.term) < newest);
         if is_outdated {
             self.instance_denied_primary(instance);
@@ -271,14 +271,14 @@
     }
 
     fn is_believed_primary(&self, id: &InstanceId, service: &str) -> bool {
-        self.beliefs
+        self.cluster
             .primary(service)
             .is_some_and(|primary| primary.id == *id)
     }
 
     /// All figures of the node as text.
     pub fn render_metrics(&self) -> String {
-        let configuration = self.beliefs.configuration();
+        let configuration = self.cluster.configuration();
         let gauges = [
             ("ready", u64::from(self.is_ready())),
             (
@@ -288,13 +288,13 @@
             ("connections_open", self.pools.open_connections() as u64),
             ("connections_opened_total", self.pools.opened() as u64),
             ("sessions_open", self.metrics.sessions_open()),
-            ("zones_evacuated", self.beliefs.evacuations().0.len() as u64),
+            ("zones_evacuated", self.cluster.evacuations().0.len() as u64),
             ("instances_held_off", self.warm_ups.count_cold() as u64),
             ("store_era", u64::from(self.store_era.known().0)),
             ("entries_unusable_total", self.platform.unusable_entries()),
         ];
         // A node that was never listed has no such age.
-        let listing_age = self.beliefs.permission.age_ms();
+        let listing_age = self.cluster.permission.age_ms();
         let listing_age = listing_age.map(|age| ("listing_age_ms", age));
         let gauges: Vec<(&str, u64)> = gauges.into_iter().chain(listing_age).collect();
         self.metrics.render(&gauges)
--- a/crates/linkhold-gateway/src/keeper.rs
+++ b/crates/linkhold-gateway/src/keeper.rs
@@ -109,12 +109,12 @@
     let call = gateway.platform.read_operator();
     let (state, next) = bounded(call, READ_TIMEOUT).await?;
     gateway.store_era.seen(next.era());
-    let beliefs = &gateway.beliefs;
+    let cluster = &gateway.cluster;
     // Before the configuration, with which a node begins to serve.
-    beliefs.replace_evacuations(state.evacuated, next, Instant::now());
-    beliefs.evacuations_vouched(asked_at);
+    cluster.replace_evacuations(state.evacuated, next, Instant::now());
+    cluster.evacuations_vouched(asked_at);
     if let Some(configuration) = state.configuration {
-        beliefs.adopt_configuration(configuration);
+        cluster.adopt_configuration(configuration);
     }
     Ok(next)
 }
@@ -127,11 +127,11 @@
     let wait = gateway.store_wait();
     let call = gateway.platform.follow_operator(from, wait);
     let (changes, next) = bounded(call, wait + READ_TIMEOUT).await?;
-    let beliefs = &gateway.beliefs;
-    beliefs.change_evacuations(changes.evacuations, next, Instant::now());
-    beliefs.evacuations_vouched(asked_at);
+    let cluster = &gateway.cluster;
+    cluster.change_evacuations(changes.evacuations, next, Instant::now());
+    cluster.evacuations_vouched(asked_at);
     if let Some(configuration) = changes.configuration {
-        beliefs.adopt_configuration(configuration);
+        cluster.adopt_configuration(configuration);
     }
     Ok(next)
 }
@@ -155,7 +155,7 @@
                 place = Some(next);
             }
             Err(error) => {
-                gateway.beliefs.directory_disturbed();
+                gateway.cluster.directory_disturbed();
                 place = None;
                 contact.failed(error).await;
                 // One of this node's tasks finds out that the store is back.
@@ -172,9 +172,9 @@
     gateway.store_era.seen(next.era());
     gateway.sources.instances_answered();
     gateway
-        .beliefs
+        .cluster
         .replace_instances(listed, next, Instant::now());
-    gateway.beliefs.directory_vouched(asked_at);
+    gateway.cluster.directory_vouched(asked_at);
     Ok(next)
 }
 
@@ -191,20 +191,20 @@
     for change in changes {
         match change {
             DirectoryChange::Present(instance) => {
-                gateway.beliefs.announce_instance(instance, Instant::now());
+                gateway.cluster.announce_instance(instance, Instant::now());
             }
             DirectoryChange::Absent(name) => {
-                gateway.beliefs.vanish_instance(&name, Instant::now());
+                gateway.cluster.vanish_instance(&name, Instant::now());
             }
         }
     }
-    gateway.beliefs.advance_directory(next);
-    gateway.beliefs.directory_read();
+    gateway.cluster.advance_directory(next);
+    gateway.cluster.directory_read();
     // A question without news was held for the whole time.
     let held_until = asked_at + wait;
     let was_held = !has_changes && Instant::now() >= held_until;
     let as_of = if was_held { held_until } else { asked_at };
-    gateway.beliefs.directory_vouched(as_of);
+    gateway.cluster.directory_vouched(as_of);
     if has_changes {
         sleep(GATHER_TIME).await;
     }
@@ -217,12 +217,12 @@
     loop {
         sleep(EXPIRY_INTERVAL).await;
         let drain = gateway.settings.drain;
-        gateway.pools.refresh_shares(&gateway.beliefs);
-        for id in gateway.beliefs.closed_instances() {
+        gateway.pools.refresh_shares(&gateway.cluster);
+        for id in gateway.cluster.closed_instances() {
             gateway.pools.close_idle(&id);
         }
-        gateway.beliefs.expire_evacuations(Instant::now());
-        for id in gateway.beliefs.expire_instances(Instant::now(), drain) {
+        gateway.cluster.expire_evacuations(Instant::now());
+        for id in gateway.cluster.expire_instances(Instant::now(), drain) {
             gateway.pools.forget(&id);
             gateway.peers.forget(&id);
         }
--- a/crates/linkhold-gateway/src/lease_format.rs
+++ b/crates/linkhold-gateway/src/lease_format.rs
@@ -15,7 +15,7 @@
 use linkhold_core::service::store_place::Era;
 use serde::{Deserialize, Serialize};
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 #[derive(Serialize, Deserialize)]
 struct LeaseRow {
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -6,8 +6,8 @@
 //! of connections, failover) is decided by `linkhold-core`, without I/O.
 
 mod admission;
-pub mod beliefs;
 mod budget_world;
+pub mod cluster_state;
 mod confirmation;
 mod evidence;
 mod failover;
@@ -52,7 +52,7 @@
 
 use ports::Platform;
 
-/// Starts the tasks that keep a node's beliefs. They run until the process
+/// Starts the tasks that keep a node's cluster state current. They run until the process
 /// ends.
 pub fn start_tasks<P: Platform>(gateway: &Arc<Gateway<P>>) {
     tokio::spawn(keeper::keep_configuration(gateway.clone()));
--- a/crates/linkhold-gateway/src/liveness.rs
+++ b/crates/linkhold-gateway/src/liveness.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// How long a node has to take a connection: seven times the way between regions and back.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/linkhold-gateway/src/metrics.rs
+++ b/crates/linkhold-gateway/src/metrics.rs
@@ -8,7 +8,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::store_call::CallReason;
 
 /// Longest time the histogram tells apart, in microseconds.
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -29,7 +29,7 @@
     pub(crate) fn connection_lost(&self, instance: &Instance) {
         self.warm_ups.doubted(&instance.id);
         let is_primary = self
-            .beliefs
+            .cluster
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         if is_primary {
@@ -45,10 +45,10 @@
         match kind {
             BackendErrorKind::ReadOnly => self.instance_denied_primary(instance),
             BackendErrorKind::Busy | BackendErrorKind::TooManyConnections => self
-                .beliefs
+                .cluster
                 .observe(&instance.id, |health| health.was_busy(now, BUSY_PAUSE)),
             BackendErrorKind::Lagging => self
-                .beliefs
+                .cluster
                 .observe(&instance.id, |health| health.lagged(now)),
             BackendErrorKind::WrongInstance => {
                 self.instance_failed(instance, "address_used_by_another");
@@ -69,7 +69,7 @@
     /// A statement has waited unusually long.
     pub(crate) fn look_at_silent(&self, instance: &Instance, sent_at: Instant) {
         let is_primary = self
-            .beliefs
+            .cluster
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         if is_primary && !self.answered_since(instance, sent_at) {
@@ -89,7 +89,7 @@
 
     /// Whether an instance has answered on some connection since a moment.
     pub(crate) fn answered_since(&self, instance: &Instance, moment: Instant) -> bool {
-        self.beliefs
+        self.cluster
             .inspect(&instance.id, |health| health.last_success())
             .flatten()
             .is_some_and(|at| at >= moment)
--- a/crates/linkhold-gateway/src/owners.rs
+++ b/crates/linkhold-gateway/src/owners.rs
@@ -12,7 +12,7 @@
 use linkhold_core::tenancy::{ConnectionHolder, TenantName};
 use linkhold_peer::FeedNode;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::places::Places;
 use crate::request::principal::Principal;
 
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -113,7 +113,7 @@
                 gateway.peers.questions.answered(number, answer);
             }
             Ok(Datagram::Reachability(ReachabilityMessage::Release { number })) => {
-                gateway.beliefs.release(number);
+                gateway.cluster.release(number);
             }
             Ok(Datagram::Reachability(ReachabilityMessage::ConfirmationQuestion { number })) => {
                 let answer = confirmation::answer(gateway, number);
@@ -223,8 +223,8 @@
     purpose: QuestionPurpose,
 ) {
     let instance = match &subject {
-        QuestionSubject::Instance(id) => gateway.beliefs.instance(&instance_id(id)),
-        QuestionSubject::PrimaryOf(service) => gateway.beliefs.primary(service),
+        QuestionSubject::Instance(id) => gateway.cluster.instance(&instance_id(id)),
+        QuestionSubject::PrimaryOf(service) => gateway.cluster.primary(service),
     };
     let found = match &instance {
         Some(instance)
@@ -236,13 +236,13 @@
         Some(_) | None => Reachability::Unreached,
     };
     if found != Reachability::Reached && purpose == QuestionPurpose::Replace {
-        gateway.beliefs.permission.agree(&subject, asker.number);
+        gateway.cluster.permission.agree(&subject, asker.number);
     }
     if found == Reachability::Unreached && purpose == QuestionPurpose::Replace {
         match (&instance, &subject) {
-            (Some(instance), _) => gateway.beliefs.withhold(&instance.id, asker.number),
+            (Some(instance), _) => gateway.cluster.withhold(&instance.id, asker.number),
             (None, QuestionSubject::Instance(id)) => {
-                gateway.beliefs.withhold(&instance_id(id), asker.number);
+                gateway.cluster.withhold(&instance_id(id), asker.number);
             }
             (None, QuestionSubject::PrimaryOf(_)) => {}
         }
@@ -272,7 +272,7 @@
     subject: &QuestionSubject,
 ) -> bool {
     let is_any_primary = matches!(subject, QuestionSubject::PrimaryOf(_));
-    !is_any_primary || !gateway.beliefs.needs_lead_proof(&instance.id)
+    !is_any_primary || !gateway.cluster.needs_lead_proof(&instance.id)
 }
 
 fn instance_id(id: &str) -> InstanceId {
--- a/crates/linkhold-gateway/src/peers/questions.rs
+++ b/crates/linkhold-gateway/src/peers/questions.rs
@@ -129,7 +129,7 @@
 /// Tells everyone who was asked to agree that nothing is ordered; a lost word costs the
 /// time for which they agreed.
 pub(crate) async fn release<P: Platform>(gateway: &Gateway<P>, number: u64, audience: &Audience) {
-    gateway.beliefs.release(number);
+    gateway.cluster.release(number);
     let (Some(key), Some(socket)) = (gateway.fleet.key(), gateway.peers.socket()) else {
         return;
     };
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -8,7 +8,7 @@
 use linkhold_events::Event;
 use linkhold_peer::{QuestionSubject, milliseconds};
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// This node's permission to speak for primaries, and what it has agreed to.
 #[derive(Debug, Default)]
--- a/crates/linkhold-gateway/src/permission_watch.rs
+++ b/crates/linkhold-gateway/src/permission_watch.rs
@@ -14,7 +14,7 @@
 
 /// Logs when the permission has lapsed. Runs until the process ends.
 pub(crate) async fn watch<P: Platform>(gateway: Arc<Gateway<P>>) {
-    let permission = &gateway.beliefs.permission;
+    let permission = &gateway.cluster.permission;
     let mut held = false;
     loop {
         sleep(LOOK_INTERVAL).await;
--- a/crates/linkhold-gateway/src/pool/mod.rs
+++ b/crates/linkhold-gateway/src/pool/mod.rs
@@ -30,7 +30,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::gate::{Gate, Urgency};
 use crate::ports::{BackendConnection, ConnectError};
 use crate::request::principal::Principal;
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -10,7 +10,7 @@
 use linkhold_core::service::connection_share::{self, Share};
 use linkhold_core::service::instance::{Instance, InstanceId};
 
-use crate::beliefs::{Beliefs, lock};
+use crate::cluster_state::{ClusterState, lock};
 use crate::owners::{InstanceOwners, Owners};
 use crate::pool::Pool;
 use crate::ports::BackendConnection;
@@ -48,11 +48,11 @@
     }
 
     /// The pool of an instance.
-    pub fn pool(&self, instance: &Arc<Instance>, beliefs: &Beliefs) -> Arc<Pool<C>> {
+    pub fn pool(&self, instance: &Arc<Instance>, cluster: &ClusterState) -> Arc<Pool<C>> {
         if let Some(pool) = lock(&self.pools).get(&instance.id) {
             return pool.clone();
         }
-        let share = self.share(instance, beliefs);
+        let share = self.share(instance, cluster);
         let pool = Arc::new(Pool::new(instance.clone(), share));
         lock(&self.pools).insert(instance.id.clone(), pool.clone());
         pool
@@ -63,9 +63,9 @@
     pub(crate) fn owners_of(
         &self,
         instance: &Instance,
-        beliefs: &Beliefs,
+        cluster: &ClusterState,
     ) -> Option<Arc<InstanceOwners>> {
-        let limits = beliefs.limits(&instance.service);
+        let limits = cluster.limits(&instance.service);
         let most = most_connections(limits);
         let nodes = self.nodes.load(Ordering::Relaxed);
         // Few know whether an instance is warm.
@@ -82,10 +82,10 @@
         &self.owners
     }
 
-    fn share(&self, instance: &Instance, beliefs: &Beliefs) -> Share {
-        let most = most_connections(beliefs.limits(&instance.service));
+    fn share(&self, instance: &Instance, cluster: &ClusterState) -> Share {
+        let most = most_connections(cluster.limits(&instance.service));
         let nodes = self.nodes.load(Ordering::Relaxed);
-        let Some(owners) = self.owners_of(instance, beliefs) else {
+        let Some(owners) = self.owners_of(instance, cluster) else {
             let has_just_started = self.started.elapsed() < LAST_LIFE;
             return connection_share::equal(most, nodes, has_just_started);
         };
@@ -98,18 +98,18 @@
     }
 
     /// Takes in a new number of nodes.
-    pub fn set_nodes(&self, nodes: usize, beliefs: &Beliefs) {
+    pub fn set_nodes(&self, nodes: usize, cluster: &ClusterState) {
         self.nodes.store(nodes, Ordering::Relaxed);
-        self.refresh_shares(beliefs);
+        self.refresh_shares(cluster);
     }
 
     /// Works out all shares anew: limits may have changed, or the node is no
     /// longer a new one.
-    pub fn refresh_shares(&self, beliefs: &Beliefs) {
+    pub fn refresh_shares(&self, cluster: &ClusterState) {
         self.is_crowded.store(false, Ordering::Relaxed);
         let pools: Vec<Arc<Pool<C>>> = lock(&self.pools).values().cloned().collect();
         for pool in pools {
-            pool.set_share(self.share(pool.instance(), beliefs));
+            pool.set_share(self.share(pool.instance(), cluster));
         }
     }
 
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -236,7 +236,7 @@
     let writer = registry.own_writer.as_ref();
     if writer.is_some_and(|writer| writer != own) {
         Event::warn("name_taken_by_another").log();
-        gateway.beliefs.permission.revoke();
+        gateway.cluster.permission.revoke();
         return Err(StoreError::Refused);
     }
     Ok(registry.own_version)
@@ -285,7 +285,7 @@
         // Nobody can ask it.
         return Ok(());
     }
-    let renewed = gateway.beliefs.permission.renewed(sent_at);
+    let renewed = gateway.cluster.permission.renewed(sent_at);
     let claims = if renewed == Renewed::ToBeAdmitted || list.covers.has_arrivals() {
         let known = failover::recent_claims(gateway).await?;
         adopt_lead_records(gateway, &known.records);
@@ -295,7 +295,7 @@
     };
     if renewed == Renewed::ToBeAdmitted {
         let claims = claims.as_ref().map_or(&[][..], |known| &known.claims);
-        gateway.beliefs.permission.admitted(sent_at, claims);
+        gateway.cluster.permission.admitted(sent_at, claims);
     }
     gateway.followers.written(list.covers, claims);
     Ok(())
@@ -387,10 +387,10 @@
 ) {
     for (service, record) in records {
         if let Some(term) = record.proved_term {
-            gateway.beliefs.term_proved(service, term);
+            gateway.cluster.term_proved(service, term);
         }
         if !record.claimed.is_empty() {
-            gateway.beliefs.lead_unsettled(service);
+            gateway.cluster.lead_unsettled(service);
         }
     }
     gateway.lead_records.replace(records);
--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -135,7 +135,7 @@
     let Some(_serving) = gateway.relays.start_serving() else {
         return;
     };
-    let Some(instance) = gateway.beliefs.instance(id) else {
+    let Some(instance) = gateway.cluster.instance(id) else {
         return;
     };
     if gateway.is_leaving() || is_barred(gateway, &instance) {
@@ -164,17 +164,17 @@
 /// Whether nothing may pass to an instance any more: this node has agreed to
 /// acknowledge nothing of it, or its zone is evacuated.
 fn is_barred<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
-    let beliefs = &gateway.beliefs;
+    let cluster = &gateway.cluster;
     // The regions of what passes are the asking node's to look after.
     let everywhere = AllowedRegions::Everywhere;
-    beliefs.is_withheld(&instance.id)
-        || beliefs
+    cluster.is_withheld(&instance.id)
+        || cluster
             .eligibility(instance, &everywhere, Engagement::Bound)
             .is_err()
 }
 
 async fn until_barred<P: Platform>(gateway: &Gateway<P>, instance: &Instance) {
-    let mut changes = gateway.beliefs.subscribe();
+    let mut changes = gateway.cluster.subscribe();
     while !is_barred(gateway, instance) {
         // An evacuated zone closes as time passes.
         let _ = timeout(BARRED_LOOK_INTERVAL, changes.changed()).await;
@@ -184,7 +184,7 @@
 /// Tries the direct way to instances whose connections are relayed.
 pub(crate) fn try_direct_ways<P: Platform>(gateway: &Arc<Gateway<P>>) {
     for id in gateway.relays.due_for_direct_trial() {
-        let Some(instance) = gateway.beliefs.instance(&id) else {
+        let Some(instance) = gateway.cluster.instance(&id) else {
             continue;
         };
         let gateway = gateway.clone();
--- a/crates/linkhold-gateway/src/request/attempt/ending.rs
+++ b/crates/linkhold-gateway/src/request/attempt/ending.rs
@@ -96,7 +96,7 @@
     if kind == BackendErrorKind::Busy {
         gateway
             .pools
-            .pool(&instance, &gateway.beliefs)
+            .pool(&instance, &gateway.cluster)
             .gate()
             .refused();
     }
--- a/crates/linkhold-gateway/src/request/attempt/exchange.rs
+++ b/crates/linkhold-gateway/src/request/attempt/exchange.rs
@@ -57,11 +57,11 @@
     let needs_permission = speaks_for_primary(gateway, lease.instance(), work, frame);
     // Whoever may have been left out when the primary was replaced acknowledged 20
     // commits of the old one in a cut of 26 s.
-    if needs_permission && !gateway.beliefs.may_speak_for(lease.instance(), sent_at) {
+    if needs_permission && !gateway.cluster.may_speak_for(lease.instance(), sent_at) {
         return Attempt::NotRun(NotRunCause::Unreachable);
     }
     let service = &lease.instance().service;
-    let proved = needs_permission.then(|| gateway.beliefs.newest_position(service));
+    let proved = needs_permission.then(|| gateway.cluster.newest_position(service));
     match converse(gateway, &mut lease, &batch.commands, answer_by).await {
         Conversation::Silent => {
             log_unanswered(work, &lease, sent_at, "silent");
@@ -134,8 +134,8 @@
     if !lease.is_within(principal.regions) {
         return Err(Ineligible::OutsideRegions);
     }
-    let beliefs = &gateway.beliefs;
-    beliefs.eligibility(lease.instance(), principal.regions, Engagement::Bound)
+    let cluster = &gateway.cluster;
+    cluster.eligibility(lease.instance(), principal.regions, Engagement::Bound)
 }
 
 /// A statement that may not be sent. The connection is closed, which undoes what
@@ -176,7 +176,7 @@
 /// Whether nothing that comes on a connection may be acknowledged, be it through a
 /// peer.
 fn is_withheld<P: Platform>(gateway: &Gateway<P>, lease: &Lease<ConnectionOf<P>>) -> bool {
-    gateway.beliefs.is_withheld(&lease.instance().id)
+    gateway.cluster.is_withheld(&lease.instance().id)
 }
 
 /// Logs a statement that was sent and got no whole answer.
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -89,10 +89,10 @@
 ) -> Attempt<P> {
     let now = Instant::now();
     gateway
-        .beliefs
+        .cluster
         .observe(&instance.id, |health| health.begin_trial(now));
-    if let Some(owners) = gateway.pools.owners_of(instance, &gateway.beliefs) {
-        let asked = if gateway.beliefs.is_cold(&instance.id) {
+    if let Some(owners) = gateway.pools.owners_of(instance, &gateway.cluster) {
+        let asked = if gateway.cluster.is_cold(&instance.id) {
             owners.permitted_spenders(&principal)
         } else {
             owners.permitted(&principal)
@@ -100,7 +100,7 @@
         let attempt = forward::run(gateway, &asked, instance, principal, work, frame, bounds).await;
         if let Some(attempt) = attempt {
             if is_proved_by_owner(gateway, instance, work, frame, &attempt) {
-                gateway.beliefs.prove_lead(&instance.id);
+                gateway.cluster.prove_lead(&instance.id);
             }
             return acknowledged(gateway, instance, work, frame, attempt);
         }
@@ -138,7 +138,7 @@
     {
         return Attempt::NotRun(cause);
     }
-    let pool = gateway.pools.pool(instance, &gateway.beliefs);
+    let pool = gateway.pools.pool(instance, &gateway.cluster);
     let entered = pool
         .gate()
         .enter(bounds.urgency, bounds.connection_by)
@@ -171,7 +171,7 @@
 ) -> Attempt<P> {
     let frame = Frame::Inside;
     let needs_permission = speaks_for_primary(gateway, held.instance(), work, frame);
-    if needs_permission && gateway.beliefs.is_replaced(held.instance()) {
+    if needs_permission && gateway.cluster.is_replaced(held.instance()) {
         // The connection is closed with it, which undoes what is open on it.
         drop(held);
         return Attempt::NotRun(NotRunCause::Unreachable);
--- a/crates/linkhold-gateway/src/request/conversation.rs
+++ b/crates/linkhold-gateway/src/request/conversation.rs
@@ -66,7 +66,7 @@
 impl<'a, P: Platform> InFlight<'a, P> {
     pub fn start(gateway: &'a Gateway<P>, instance: &Arc<Instance>) -> Self {
         gateway
-            .beliefs
+            .cluster
             .observe(&instance.id, |health| health.begin());
         Self {
             gateway,
@@ -78,7 +78,7 @@
 impl<P: Platform> Drop for InFlight<'_, P> {
     fn drop(&mut self) {
         self.gateway
-            .beliefs
+            .cluster
             .observe(&self.instance.id, |health| health.end());
     }
 }
@@ -106,7 +106,7 @@
 
 fn silence_limit<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> Duration {
     let usual = gateway
-        .beliefs
+        .cluster
         .inspect(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
--- a/crates/linkhold-gateway/src/request/primary_answer.rs
+++ b/crates/linkhold-gateway/src/request/primary_answer.rs
@@ -22,7 +22,7 @@
 ) -> bool {
     let position = replies.last().and_then(|reply| reply.position);
     let is_permitted =
-        !work.may_commit() || gateway.beliefs.may_speak_for(instance, Instant::now());
+        !work.may_commit() || gateway.cluster.may_speak_for(instance, Instant::now());
     is_permitted
         && !gateway.is_outdated(instance, position)
         && !gateway.has_lost_its_log(instance, position, proved)
@@ -41,7 +41,7 @@
         Frame::Opening { read_only, .. } => !read_only,
         Frame::Bare { fence: Some(_) } => false,
         // On a replica nothing but reads can be open.
-        Frame::Inside => work.may_commit() && !gateway.beliefs.is_replica(instance),
+        Frame::Inside => work.may_commit() && !gateway.cluster.is_replica(instance),
     }
 }
 
@@ -56,7 +56,7 @@
 ) -> Attempt<P> {
     let is_answered = matches!(attempt, Attempt::Answered(_));
     let commits = work.may_commit() && speaks_for_primary(gateway, instance, work, frame);
-    if is_answered && commits && gateway.beliefs.is_replaced(instance) {
+    if is_answered && commits && gateway.cluster.is_replaced(instance) {
         return Attempt::Lost;
     }
     attempt
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -193,7 +193,7 @@
     reason: NotRun,
 ) -> Result<Arc<Instance>, Failure> {
     let wait_until = unit.wait_until();
-    let mut changes = gateway.beliefs.subscribe();
+    let mut changes = gateway.cluster.subscribe();
     loop {
         changes.mark_unchanged();
         let now = Instant::now();
@@ -201,14 +201,14 @@
             return Err(Failure::NotRun(reason));
         }
         let service = &unit.route.service;
-        let barred = match gateway.beliefs.usable_primary(service, now) {
+        let barred = match gateway.cluster.usable_primary(service, now) {
             Some(primary) => match primary_barrier(gateway, unit, &primary) {
                 None => return Ok(primary),
                 barred => barred,
             },
             None => {
                 gateway.attention.suspect(service);
-                gateway.beliefs.barrier(service, unit.regions)
+                gateway.cluster.barrier(service, unit.regions)
             }
         };
         if let Some(barred) = barred
@@ -229,8 +229,8 @@
     unit: &Unit<'_>,
     primary: &Instance,
 ) -> Option<Ineligible> {
-    let beliefs = &gateway.beliefs;
-    beliefs
+    let cluster = &gateway.cluster;
+    cluster
         .eligibility(primary, unit.regions, Engagement::Bound)
         .err()
 }
@@ -238,11 +238,11 @@
 /// Whether the primary is about to move to where a statement may be run.
 fn is_switch_over_due<P: Platform>(gateway: &Gateway<P>, unit: &Unit<'_>) -> bool {
     let service = &unit.route.service;
-    let beliefs = &gateway.beliefs;
-    let wanted = beliefs.primary_regions(service);
+    let cluster = &gateway.cluster;
+    let wanted = cluster.primary_regions(service);
     let is_among = |region: &RegionName| unit.regions.permits(region);
     let serves = !unit.regions.is_bound() || wanted.is_bound() && wanted.names().all(is_among);
-    serves && beliefs.has_place_for_primary(service)
+    serves && cluster.has_place_for_primary(service)
 }
 
 /// What is told where no primary may run a statement.
@@ -298,13 +298,13 @@
             return Err(Failure::NotRun(reason));
         }
         let service = &unit.route.service;
-        if let Some(barred) = gateway.beliefs.barrier(service, unit.regions) {
+        if let Some(barred) = gateway.cluster.barrier(service, unit.regions) {
             return Err(Failure::NotRun(read_refusal(barred)));
         }
         let fence = read_fence(gateway, unit, marks, rounds).await?;
         let now = Instant::now();
         let chosen = gateway
-            .beliefs
+            .cluster
             .choose_for_read(service, fence, &excluded, unit.regions, now);
         let Some((instance, is_last)) = chosen else {
             if now + ROUND_PAUSE >= unit.wait_until() {
@@ -321,7 +321,7 @@
         match attempt {
             Attempt::Answered(answer) => {
                 gateway
-                    .beliefs
+                    .cluster
                     .observe(&instance.id, |health| health.was_fresh_enough());
                 return Ok(answer);
             }
@@ -329,8 +329,8 @@
                 reason = refusal_reason(cause);
                 retrying(gateway, work, &instance, cause);
                 if let NotRunCause::WarmingUp(after) = cause {
-                    let beliefs = &gateway.beliefs;
-                    beliefs.observe(&instance.id, |health| health.was_busy(now, after));
+                    let cluster = &gateway.cluster;
+                    cluster.observe(&instance.id, |health| health.was_busy(now, after));
                 }
             }
             Attempt::Lost | Attempt::TimedOut if opening != Opening::Alone => {
@@ -390,7 +390,7 @@
     staleness: Duration,
 ) {
     let is_old = gateway
-        .beliefs
+        .cluster
         .latest_evidence(service)
         .is_none_or(|sent_at| sent_at.elapsed() > staleness / 2);
     if is_old {
@@ -408,7 +408,7 @@
     now: Instant,
 ) -> Bounds {
     let usual = gateway
-        .beliefs
+        .cluster
         .inspect(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
--- a/crates/linkhold-gateway/src/session/mod.rs
+++ b/crates/linkhold-gateway/src/session/mod.rs
@@ -132,8 +132,8 @@
     /// milliseconds if it can at all.
     async fn wait_for_configuration(&self) {
         let deadline = self.marks.opened_at + CONFIGURATION_WAIT;
-        let mut changes = self.gateway.beliefs.subscribe();
-        while !self.gateway.beliefs.can_serve() {
+        let mut changes = self.gateway.cluster.subscribe();
+        while !self.gateway.cluster.can_serve() {
             changes.mark_unchanged();
             if timeout_at(deadline.into(), changes.changed())
                 .await
@@ -146,7 +146,7 @@
 
     /// What the caller may do by the configuration in force.
     fn admitted(&self) -> Result<Admitted, Failure> {
-        let configuration = self.gateway.beliefs.configuration();
+        let configuration = self.gateway.cluster.configuration();
         let configuration = configuration.ok_or(Failure::NotRun(NotRun::NotConfigured))?;
         configuration
             .admit(&self.startup.database, self.startup.credential.as_ref())
@@ -155,7 +155,7 @@
 
     /// The tenant that the caller is known as now, for log lines.
     fn tenant(&self) -> String {
-        let configuration = self.gateway.beliefs.configuration();
+        let configuration = self.gateway.cluster.configuration();
         let tenancy = configuration.as_ref().and_then(|it| it.tenancy.as_ref());
         let credential = self.startup.credential.as_ref();
         let tenant = tenancy.and_then(|it| it.tenant_of(credential?));
@@ -164,7 +164,7 @@
 
     /// The regions in which the caller's requests may be run now, for log lines.
     fn regions(&self) -> AllowedRegions {
-        let configuration = self.gateway.beliefs.configuration();
+        let configuration = self.gateway.cluster.configuration();
         let regions = configuration.and_then(|configuration| {
             let route = configuration.route(&self.startup.database)?;
             let holder = configuration.holder(route, self.startup.credential.as_ref());
@@ -213,7 +213,7 @@
         };
         let limit = self
             .gateway
-            .beliefs
+            .cluster
             .configuration()?
             .transaction_idle_timeout?;
         Some(Instant::now() + limit)
@@ -280,14 +280,14 @@
             Failure::NotRun(_) => metrics.refused.add(),
             Failure::Unknown(_) | Failure::AlreadyCompleted => metrics.unknown.add(),
         }
-        let beliefs = &self.gateway.beliefs;
-        let configuration = beliefs.configuration();
+        let cluster = &self.gateway.cluster;
+        let configuration = cluster.configuration();
         let route = configuration
             .as_ref()
             .and_then(|configuration| configuration.route(&self.startup.database));
         let service = route.map_or("none", |route| &*route.service);
-        let primary = beliefs.primary(service);
-        let evidence_age = beliefs
+        let primary = cluster.primary(service);
+        let evidence_age = cluster
             .latest_evidence(service)
             .map_or(-1, |sent_at| sent_at.elapsed().as_millis() as i64);
         Event::warn("request_failed")
--- a/crates/linkhold-gateway/src/session/operations.rs
+++ b/crates/linkhold-gateway/src/session/operations.rs
@@ -284,7 +284,7 @@
     /// Its database may have moved to another service meanwhile: it goes on where it
     /// is.
     fn present_admission(&self, open: &OpenTransaction<P>) -> Result<AllowedRegions, NotRun> {
-        let configuration = self.gateway.beliefs.configuration();
+        let configuration = self.gateway.cluster.configuration();
         let configuration = configuration.ok_or(NotRun::NotConfigured)?;
         let opened = &open.admitted;
         let holder = configuration.holder(&opened.route, self.startup.credential.as_ref())?;
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -121,7 +121,7 @@
             now: Instant::now(),
             trusted_until: self.trusted_until,
             readers: self.order.len().min(FIRST_ROUND.iter().sum()),
-            can_serve: gateway.beliefs.can_serve(),
+            can_serve: gateway.cluster.can_serve(),
             freshness: gateway.freshness,
         }
     }
@@ -132,7 +132,7 @@
         }
         let situation = self.situation(gateway);
         if situation.now >= self.trusted_until && !gateway.sources.is_reading() {
-            gateway.beliefs.directory_disturbed();
+            gateway.cluster.directory_disturbed();
         }
         match self.search.next(&situation) {
             Step::Follow => self.follow(gateway, Patience::UntilStale).await,
--- a/crates/linkhold-gateway/src/state/awaited.rs
+++ b/crates/linkhold-gateway/src/state/awaited.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::mpsc;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// Questions that wait for answers, by number.
 #[derive(Debug)]
--- a/crates/linkhold-gateway/src/state/fleet.rs
+++ b/crates/linkhold-gateway/src/state/fleet.rs
@@ -13,7 +13,7 @@
 use linkhold_peer::{FeedFleet, FeedNode, PeerKey};
 
 use crate::admission::Coordinator;
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::places::Places;
 use crate::registry::{Member, Process, Registration, Registry};
 use crate::watchers::Watchers;
--- a/crates/linkhold-gateway/src/state/forwarding.rs
+++ b/crates/linkhold-gateway/src/state/forwarding.rs
@@ -9,7 +9,7 @@
 use linkhold_events::Event;
 use linkhold_peer::PeerKey;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::forward::link::{Link, LinkState};
 
 /// How long an owner that could not be reached, or kept silent, is passed over.
--- a/crates/linkhold-gateway/src/state/lead_proofs.rs
+++ b/crates/linkhold-gateway/src/state/lead_proofs.rs
@@ -6,7 +6,7 @@
 
 use linkhold_core::service::configuration::ServiceName;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::request::attempt::NotRunCause;
 
 /// How long a round in which the primary told nothing counts: each asks all instances of the
--- a/crates/linkhold-gateway/src/state/lead_records.rs
+++ b/crates/linkhold-gateway/src/state/lead_records.rs
@@ -6,7 +6,7 @@
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::lead::LeadRecord;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// What the store keeps of earlier promotions; nothing is known until it was read.
 #[derive(Debug, Default)]
--- a/crates/linkhold-gateway/src/state/own_row.rs
+++ b/crates/linkhold-gateway/src/state/own_row.rs
@@ -6,7 +6,7 @@
 use linkhold_core::service::store_place::StorePlace;
 use tokio::sync::MutexGuard;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// What this node knows of its own row.
 #[derive(Debug, Default)]
--- a/crates/linkhold-gateway/src/state/peers.rs
+++ b/crates/linkhold-gateway/src/state/peers.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 
 use super::AwaitedAnswers;
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// What a node answered.
 #[derive(Clone, Debug)]
--- a/crates/linkhold-gateway/src/state/questions.rs
+++ b/crates/linkhold-gateway/src/state/questions.rs
@@ -5,7 +5,7 @@
 
 use linkhold_core::service::configuration::ServiceName;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// Services about which a question is under way.
 #[derive(Debug, Default)]
--- a/crates/linkhold-gateway/src/state/reader_link.rs
+++ b/crates/linkhold-gateway/src/state/reader_link.rs
@@ -6,7 +6,7 @@
 use linkhold_peer::{EvidenceAnswer, EvidenceQuestion, FeedMessage};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// A follower's side: the way to its reader, and the questions under way.
 #[derive(Default)]
--- a/crates/linkhold-gateway/src/state/relays.rs
+++ b/crates/linkhold-gateway/src/state/relays.rs
@@ -10,7 +10,7 @@
 use linkhold_core::service::regions::{AllowedRegions, RegionName};
 use rand::seq::IndexedRandom;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// How long a peer stays chosen after a connection through it was made.
 const PATH_LIFE: Duration = Duration::from_millis(3_000);
--- a/crates/linkhold-gateway/src/state/sources.rs
+++ b/crates/linkhold-gateway/src/state/sources.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// What the node does about the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -9,7 +9,7 @@
 use linkhold_events::Event;
 use tokio::sync::Notify;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// What is known of one instance.
 #[derive(Default)]
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -29,14 +29,14 @@
 impl<P: Platform> Gateway<P> {
     /// What the service of an instance allows it while it is cold.
     fn warm_up_limit(&self, instance: &Instance) -> Option<WarmUpLimit> {
-        self.beliefs.limits(&instance.service)?.warm_up
+        self.cluster.limits(&instance.service)?.warm_up
     }
 
     fn entry_known(&self, instance: &Instance) -> EntryKnown {
         EntryKnown {
-            is_listed: self.beliefs.is_listed(&instance.id),
-            says_cold: self.beliefs.is_cold(&instance.id),
-            as_of: self.beliefs.directory_as_of(),
+            is_listed: self.cluster.is_listed(&instance.id),
+            says_cold: self.cluster.is_cold(&instance.id),
+            as_of: self.cluster.directory_as_of(),
         }
     }
 
@@ -136,7 +136,7 @@
         let owners = self.pools.owners().of(instance);
         SpenderStanding {
             rank: owners.rank().filter(|_| self.fleet.knows_all()),
-            view_age: self.beliefs.directory_age(),
+            view_age: self.cluster.directory_age(),
             life_time: self.started_at.elapsed(),
             was_listed: self.fleet.was_listed(),
         }
--- a/crates/linkhold-gateway/src/warm_up/watch.rs
+++ b/crates/linkhold-gateway/src/warm_up/watch.rs
@@ -52,19 +52,19 @@
 
 /// Instances of services that bound what cold ones get.
 fn bound_instances<P: Platform>(gateway: &Gateway<P>) -> Vec<Arc<Instance>> {
-    let Some(configuration) = gateway.beliefs.configuration() else {
+    let Some(configuration) = gateway.cluster.configuration() else {
         return Vec::new();
     };
     let services = configuration.services.iter();
     services
         .filter(|(_, limits)| limits.warm_up.is_some())
-        .flat_map(|(service, _)| gateway.beliefs.instances(service))
+        .flat_map(|(service, _)| gateway.cluster.instances(service))
         .collect()
 }
 
 fn is_watched_here<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
     let owners = gateway.pools.owners().of(instance);
-    owners.includes_self && !gateway.is_leaving() && !gateway.beliefs.is_closed(instance)
+    owners.includes_self && !gateway.is_leaving() && !gateway.cluster.is_closed(instance)
 }
 
 /// Watches an instance until it is aborted.
--- a/crates/linkhold-gateway/src/watchers.rs
+++ b/crates/linkhold-gateway/src/watchers.rs
@@ -9,7 +9,7 @@
 use linkhold_core::service::watchers::{self, ALL_WATCH};
 use linkhold_peer::FeedNode;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// Who watches a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
