--- a/crates/linkhold-gateway/src/cluster_state/primaries.rs
+++ b/crates/linkhold-gateway/src/cluster_state/primaries.rs
@@ -132,13 +132,13 @@
     }
 
     /// Whether an instance is believed to lead for its announcement alone.
-    pub fn needs_lead_proof(&self, id: &InstanceId) -> bool {
+    pub fn needs_verification(&self, id: &InstanceId) -> bool {
         lock(&self.instances).directory.needs_lead_proof(id)
     }
 
     /// Nothing that the other instances know speaks against an instance that is believed to
     /// lead.
-    pub fn prove_lead(&self, id: &InstanceId) {
+    pub fn mark_verified(&self, id: &InstanceId) {
         lock(&self.instances).directory.prove_lead(id);
     }
 
--- a/crates/linkhold-gateway/src/evidence/mod.rs
+++ b/crates/linkhold-gateway/src/evidence/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! * [`probe`] decides when a primary is asked how far its log has come, and waits for it;
 //! * [`sharing`] asks the reader that is followed instead, and answers followers;
-//! * [`lead_proof`] makes sure that a primary was not replaced unseen;
+//! * [`primary_verification`] makes sure that a primary was not replaced unseen;
 //! * [`survey`] talks to instances: it keeps nothing and decides nothing.
 //!
 //! What is proved is kept in [`crate::cluster_state`].
 
-pub(crate) mod lead_proof;
+pub(crate) mod primary_verification;
 pub(crate) mod probe;
 pub(crate) mod sharing;
 pub(crate) mod survey;
--- a/crates/linkhold-gateway/src/evidence/lead_proof.rs
+++ b/crates/linkhold-gateway/src/evidence/primary_verification.rs
@@ -18,28 +18,31 @@
 use crate::pool::CheckoutError;
 use crate::ports::{BackendErrorKind, Platform};
 use crate::request::attempt::{NotRunCause, of_checkout};
-use crate::state::SilentRound;
+use crate::state::UnansweredVerification;
 
 /// Makes sure that `primary` leads, unless that is proved; an error tells why nothing may be
 /// sent to it as one.
-pub(crate) async fn prove<P: Platform>(
+pub(crate) async fn verify_primary<P: Platform>(
     gateway: &Gateway<P>,
     primary: &Arc<Instance>,
 ) -> Result<(), NotRunCause> {
-    if !gateway.cluster.needs_lead_proof(&primary.id) {
-        return unless_denied(gateway, primary);
+    if !gateway.cluster.needs_verification(&primary.id) {
+        return reject_denied(gateway, primary);
     }
-    let turn = gateway.lead_proofs.turn(&primary.service);
+    let turn = gateway.primary_verifications.turn(&primary.service);
     let mut last_silent = turn.lock().await;
     // Somebody else may have asked meanwhile.
-    if !gateway.cluster.needs_lead_proof(&primary.id) {
-        return unless_denied(gateway, primary);
+    if !gateway.cluster.needs_verification(&primary.id) {
+        return reject_denied(gateway, primary);
     }
     if gateway.lead_records.of(&primary.service).is_none() {
         // This node is not listed yet: it may speak for no primary anyway.
         return Err(NotRunCause::Refused(BackendErrorKind::Busy));
     }
-    if let Some(cause) = last_silent.as_ref().and_then(SilentRound::present_cause) {
+    if let Some(cause) = last_silent
+        .as_ref()
+        .and_then(UnansweredVerification::present_cause)
+    {
         return Err(cause);
     }
     let instances = gateway.cluster.instances(&primary.service);
@@ -47,14 +50,14 @@
     for status in &statuses {
         gateway.cluster.term_seen(&primary.service, status.term);
     }
-    match judge(gateway, primary, &statuses).await {
+    match determine_verdict(gateway, primary, &statuses).await {
         LeadVerdict::Leads => {
-            gateway.cluster.prove_lead(&primary.id);
+            gateway.cluster.mark_verified(&primary.id);
             Ok(())
         }
         LeadVerdict::Silent => {
             let cause = look_at_silent(gateway, primary).await;
-            *last_silent = Some(SilentRound::ended(cause));
+            *last_silent = Some(UnansweredVerification::ended(cause));
             Err(cause)
         }
         verdict @ (LeadVerdict::Replaced(_) | LeadVerdict::Unknown) => {
@@ -65,7 +68,7 @@
     }
 }
 
-fn unless_denied<P: Platform>(gateway: &Gateway<P>, primary: &Instance) -> Result<(), NotRunCause> {
+fn reject_denied<P: Platform>(gateway: &Gateway<P>, primary: &Instance) -> Result<(), NotRunCause> {
     if gateway.cluster.is_denied(&primary.id) {
         return Err(NotRunCause::Refused(BackendErrorKind::ReadOnly));
     }
@@ -74,7 +77,7 @@
 
 /// Judges an instance that says it leads by what the instances of its service told and by
 /// what the store keeps, which is read again if it does not tell.
-pub(crate) async fn judge<P: Platform>(
+pub(crate) async fn determine_verdict<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     statuses: &[InstanceStatus],
--- a/crates/linkhold-gateway/src/evidence/probe.rs
+++ b/crates/linkhold-gateway/src/evidence/probe.rs
@@ -16,7 +16,7 @@
 use linkhold_core::tenancy::ConnectionHolder;
 use tokio::time::timeout_at;
 
-use crate::evidence::lead_proof;
+use crate::evidence::primary_verification;
 use crate::evidence::sharing;
 use crate::forward;
 use crate::gate::Urgency;
@@ -102,12 +102,15 @@
         && let Some(sample) = forward::ask_evidence(gateway, &owners, &primary, moment).await
     {
         // The owner has proved that it leads.
-        gateway.cluster.prove_lead(&primary.id);
+        gateway.cluster.mark_verified(&primary.id);
         gateway.primary_proved(&primary, sample);
         return;
     }
     gateway.metrics.evidence_probes.add();
-    if lead_proof::prove(gateway, &primary).await.is_err() {
+    if primary_verification::verify_primary(gateway, &primary)
+        .await
+        .is_err()
+    {
         return;
     }
     let deadline = tokio::time::Instant::from_std(started + QUESTION_TIMEOUT);
--- a/crates/linkhold-gateway/src/evidence/survey.rs
+++ b/crates/linkhold-gateway/src/evidence/survey.rs
@@ -42,7 +42,7 @@
         (Some(BackendErrorKind::ReadOnly), _) => Reachability::NotPrimary,
         (None, Some(position)) => {
             // One that may have been replaced proves nothing of its service's log.
-            if !gateway.cluster.needs_lead_proof(&instance.id) {
+            if !gateway.cluster.needs_verification(&instance.id) {
                 gateway.primary_proved(instance, Sample { sent_at, position });
             }
             Reachability::Reached
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -17,7 +17,7 @@
 use super::lease::{Claim, claim};
 use super::order::{Grounds, OrderEnd, order};
 use super::{Trouble, is_still_subject};
-use crate::evidence::{lead_proof, survey};
+use crate::evidence::{primary_verification, survey};
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
@@ -234,7 +234,8 @@
     let Some(instance) = gateway.cluster.instance(&claimant.id) else {
         return false;
     };
-    let verdict = lead_proof::judge(gateway, &instance, &situation.statuses).await;
+    let verdict =
+        primary_verification::determine_verdict(gateway, &instance, &situation.statuses).await;
     if verdict == LeadVerdict::Leads {
         gateway
             .cluster
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -23,8 +23,8 @@
 use crate::ports::{BackendConnector, Platform};
 use crate::settings::GatewaySettings;
 use crate::state::{
-    Fleet, FleetSource, Forwarding, LeadProofs, LeadRecords, OwnRow, Peers, Questions, ReaderLink,
-    Relays, Sources, WarmUps,
+    Fleet, FleetSource, Forwarding, LeadRecords, OwnRow, Peers, PrimaryVerifications, Questions,
+    ReaderLink, Relays, Sources, WarmUps,
 };
 use crate::store_era::StoreEra;
 use crate::watchers::Watchers;
@@ -57,7 +57,7 @@
     pub(crate) feed_frames: FeedFrames,
     pub(crate) leases: HeldLeases,
     pub(crate) watchers: Watchers,
-    pub(crate) lead_proofs: LeadProofs,
+    pub(crate) primary_verifications: PrimaryVerifications,
     pub(crate) lead_records: LeadRecords,
     pub(crate) store_era: StoreEra,
     pub(crate) quotas: Quotas,
@@ -116,7 +116,7 @@
             feed_frames: FeedFrames::default(),
             leases: HeldLeases::default(),
             watchers: Watchers::default(),
-            lead_proofs: LeadProofs::default(),
+            primary_verifications: PrimaryVerifications::default(),
             lead_records: LeadRecords::default(),
             store_era: StoreEra::default(),
             quotas: Quotas::default(),
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -272,7 +272,7 @@
     subject: &QuestionSubject,
 ) -> bool {
     let is_any_primary = matches!(subject, QuestionSubject::PrimaryOf(_));
-    !is_any_primary || !gateway.cluster.needs_lead_proof(&instance.id)
+    !is_any_primary || !gateway.cluster.needs_verification(&instance.id)
 }
 
 fn instance_id(id: &str) -> InstanceId {
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -13,7 +13,7 @@
 use linkhold_core::service::eligibility::Ineligible;
 use linkhold_core::service::instance::Instance;
 
-use crate::evidence::lead_proof;
+use crate::evidence::primary_verification;
 use crate::forward;
 use crate::gate::Urgency;
 use crate::gateway::Gateway;
@@ -100,7 +100,7 @@
         let attempt = forward::run(gateway, &asked, instance, principal, work, frame, bounds).await;
         if let Some(attempt) = attempt {
             if is_proved_by_owner(gateway, instance, work, frame, &attempt) {
-                gateway.cluster.prove_lead(&instance.id);
+                gateway.cluster.mark_verified(&instance.id);
             }
             return acknowledged(gateway, instance, work, frame, attempt);
         }
@@ -134,7 +134,7 @@
         return Attempt::NotRun(NotRunCause::Unreachable);
     }
     if speaks_for_primary(gateway, instance, work, frame)
-        && let Err(cause) = lead_proof::prove(gateway, instance).await
+        && let Err(cause) = primary_verification::verify_primary(gateway, instance).await
     {
         return Attempt::NotRun(cause);
     }
--- a/crates/linkhold-gateway/src/state/lead_proofs.rs
+++ b/crates/linkhold-gateway/src/state/primary_verifications.rs
@@ -15,12 +15,12 @@
 
 /// A round in which the primary told nothing.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SilentRound {
+pub(crate) struct UnansweredVerification {
     ended_at: Instant,
     cause: NotRunCause,
 }
 
-impl SilentRound {
+impl UnansweredVerification {
     /// A round has just ended; why nothing may be sent to the primary.
     pub fn ended(cause: NotRunCause) -> Self {
         Self {
@@ -37,13 +37,13 @@
 
 /// A round of questions about a service, which one task at a time holds, and the last one in
 /// which the primary told nothing.
-type Turn = Arc<tokio::sync::Mutex<Option<SilentRound>>>;
+type Turn = Arc<tokio::sync::Mutex<Option<UnansweredVerification>>>;
 
 /// One round of questions about a service at a time.
 #[derive(Debug, Default)]
-pub(crate) struct LeadProofs(Mutex<HashMap<ServiceName, Turn>>);
+pub(crate) struct PrimaryVerifications(Mutex<HashMap<ServiceName, Turn>>);
 
-impl LeadProofs {
+impl PrimaryVerifications {
     /// What a round about a service holds while it lasts.
     pub fn turn(&self, service: &ServiceName) -> Turn {
         lock(&self.0).entry(service.clone()).or_default().clone()
