--- a/crates/linkhold-gateway/src/evidence/primary_verification.rs
+++ b/crates/linkhold-gateway/src/evidence/primary_verification.rs
@@ -35,7 +35,7 @@
     if !gateway.cluster.needs_verification(&primary.id) {
         return reject_denied(gateway, primary);
     }
-    if gateway.lead_records.of(&primary.service).is_none() {
+    if gateway.promotion_records.of(&primary.service).is_none() {
         // This node is not listed yet: it may speak for no primary anyway.
         return Err(NotRunCause::Refused(BackendErrorKind::Busy));
     }
@@ -83,16 +83,16 @@
     statuses: &[InstanceStatus],
 ) -> LeadVerdict {
     let service = &instance.service;
-    if let Some(record) = gateway.lead_records.of(service) {
+    if let Some(record) = gateway.promotion_records.of(service) {
         let verdict = lead::judge(&instance.id, statuses, &record);
         if verdict != LeadVerdict::Unknown {
             return verdict;
         }
     }
-    match failover::read_lead_record(gateway, service).await {
+    match failover::read_promotion_record(gateway, service).await {
         Ok(record) => {
             let verdict = lead::judge(&instance.id, statuses, &record);
-            gateway.lead_records.update(service, record);
+            gateway.promotion_records.update(service, record);
             verdict
         }
         Err(_) => LeadVerdict::Unknown,
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -236,7 +236,7 @@
 }
 
 /// Reads what is kept of a service's promotions.
-pub(crate) async fn read_lead_record<P: Platform>(
+pub(crate) async fn read_promotion_record<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
 ) -> Result<LeadRecord, StoreError> {
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -30,9 +30,9 @@
 use misplaced::MisplacedPrimaries;
 use promotion::replace;
 
-pub(crate) use lease::{read_lead_record, recent_claims};
+pub(crate) use lease::{read_promotion_record, recent_claims};
 pub(crate) use ready_leases::hold_leases_ready;
-pub(crate) use recorder::keep_lead_records;
+pub(crate) use recorder::update_promotion_records;
 
 /// How often primaries that leave are looked for.
 const LOOK_INTERVAL: Duration = Duration::from_millis(400);
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -31,7 +31,7 @@
 
 /// Has the store keep newer terms of the services whose duty this is. Runs until the process
 /// ends.
-pub(crate) async fn keep_lead_records<P: Platform>(gateway: Arc<Gateway<P>>) {
+pub(crate) async fn update_promotion_records<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut known: BTreeMap<ServiceName, Risen> = BTreeMap::new();
     loop {
         for (service, term) in gateway.cluster.take_risen_terms() {
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -23,8 +23,8 @@
 use crate::ports::{BackendConnector, Platform};
 use crate::settings::GatewaySettings;
 use crate::state::{
-    Fleet, FleetSource, Forwarding, LeadRecords, OwnRow, Peers, PrimaryVerifications, Questions,
-    ReaderLink, Relays, Sources, WarmUps,
+    Fleet, FleetSource, Forwarding, OwnRow, Peers, PrimaryVerifications, PromotionRecords,
+    Questions, ReaderLink, Relays, Sources, WarmUps,
 };
 use crate::store_era::StoreEra;
 use crate::watchers::Watchers;
@@ -58,7 +58,7 @@
     pub(crate) leases: HeldLeases,
     pub(crate) watchers: Watchers,
     pub(crate) primary_verifications: PrimaryVerifications,
-    pub(crate) lead_records: LeadRecords,
+    pub(crate) promotion_records: PromotionRecords,
     pub(crate) store_era: StoreEra,
     pub(crate) quotas: Quotas,
     pub(crate) warm_ups: WarmUps,
@@ -117,7 +117,7 @@
             leases: HeldLeases::default(),
             watchers: Watchers::default(),
             primary_verifications: PrimaryVerifications::default(),
-            lead_records: LeadRecords::default(),
+            promotion_records: PromotionRecords::default(),
             store_era: StoreEra::default(),
             quotas: Quotas::default(),
             warm_ups: WarmUps::default(),
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -67,6 +67,6 @@
     tokio::spawn(sources::choose(gateway.clone()));
     tokio::spawn(failover::watch_primaries(gateway.clone()));
     tokio::spawn(failover::hold_leases_ready(gateway.clone()));
-    tokio::spawn(failover::keep_lead_records(gateway.clone()));
+    tokio::spawn(failover::update_promotion_records(gateway.clone()));
     tokio::spawn(warm_up::keep_watching(gateway.clone()));
 }
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -393,7 +393,7 @@
             gateway.cluster.lead_unsettled(service);
         }
     }
-    gateway.lead_records.replace(records);
+    gateway.promotion_records.replace(records);
 }
 
 /// Reads all rows but one.
--- a/crates/linkhold-gateway/src/state/lead_records.rs
+++ b/crates/linkhold-gateway/src/state/promotion_records.rs
@@ -10,9 +10,9 @@
 
 /// What the store keeps of earlier promotions; nothing is known until it was read.
 #[derive(Debug, Default)]
-pub(crate) struct LeadRecords(Mutex<Option<HashMap<ServiceName, LeadRecord>>>);
+pub(crate) struct PromotionRecords(Mutex<Option<HashMap<ServiceName, LeadRecord>>>);
 
-impl LeadRecords {
+impl PromotionRecords {
     /// All records were read.
     pub fn replace(&self, records: &[(ServiceName, LeadRecord)]) {
         *lock(&self.0) = Some(records.iter().cloned().collect());
