--- a/crates/linkhold-gateway/src/cluster_state/primaries.rs
+++ b/crates/linkhold-gateway/src/cluster_state/primaries.rs
@@ -53,7 +53,7 @@
 
     /// Whether this node may speak at a moment for an instance as a primary: it has not
     /// agreed that it is replaced, and nobody replaces it without its consent.
-    pub fn may_speak_for(&self, instance: &Instance, moment: Instant) -> bool {
+    pub fn may_acknowledge_for(&self, instance: &Instance, moment: Instant) -> bool {
         self.may_use_primary(&lock(&self.instances), instance, moment)
     }
 
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -231,7 +231,7 @@
             return;
         }
         let is_replaced = self.cluster.is_replaced(instance);
-        if !is_replaced && self.cluster.may_speak_for(instance, sample.sent_at) {
+        if !is_replaced && self.cluster.may_acknowledge_for(instance, sample.sent_at) {
             self.cluster.record_evidence(&instance.service, sample);
         }
     }
--- a/crates/linkhold-gateway/src/request/attempt/exchange.rs
+++ b/crates/linkhold-gateway/src/request/attempt/exchange.rs
@@ -57,7 +57,11 @@
     let needs_permission = speaks_for_primary(gateway, lease.instance(), work, frame);
     // Whoever may have been left out when the primary was replaced acknowledged 20
     // commits of the old one in a cut of 26 s.
-    if needs_permission && !gateway.cluster.may_speak_for(lease.instance(), sent_at) {
+    if needs_permission
+        && !gateway
+            .cluster
+            .may_acknowledge_for(lease.instance(), sent_at)
+    {
         return Attempt::NotRun(NotRunCause::Unreachable);
     }
     let service = &lease.instance().service;
--- a/crates/linkhold-gateway/src/request/primary_answer.rs
+++ b/crates/linkhold-gateway/src/request/primary_answer.rs
@@ -21,8 +21,10 @@
     proved: Option<Position>,
 ) -> bool {
     let position = replies.last().and_then(|reply| reply.position);
-    let is_permitted =
-        !work.may_commit() || gateway.cluster.may_speak_for(instance, Instant::now());
+    let is_permitted = !work.may_commit()
+        || gateway
+            .cluster
+            .may_acknowledge_for(instance, Instant::now());
     is_permitted
         && !gateway.is_outdated(instance, position)
         && !gateway.has_lost_its_log(instance, position, proved)
