--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -241,7 +241,7 @@
     }
 
     /// The instance with a name is no longer listed.
-    pub fn vanish_instance(&self, name: &str, now: Instant) {
+    pub fn unlist_instance(&self, name: &str, now: Instant) {
         lock(&self.instances).directory.vanish_by_name(name, now);
         Event::info("instance_unlisted")
             .field("instance", name)
@@ -250,7 +250,7 @@
     }
 
     /// A life of an instance is no longer known to whoever lists them.
-    pub fn vanish_life(&self, id: &InstanceId, now: Instant) {
+    pub fn unlist_incarnation(&self, id: &InstanceId, now: Instant) {
         lock(&self.instances).directory.vanish(id, now);
         self.announce_change();
     }
--- a/crates/linkhold-gateway/src/feed/told.rs
+++ b/crates/linkhold-gateway/src/feed/told.rs
@@ -110,10 +110,10 @@
         if is_listed {
             cluster.announce_instance(instance, now);
         } else {
-            cluster.vanish_instance(instance.id.name(), now);
+            cluster.unlist_instance(instance.id.name(), now);
         }
     }
     for id in changes.gone {
-        cluster.vanish_life(&id, now);
+        cluster.unlist_incarnation(&id, now);
     }
 }
--- a/crates/linkhold-gateway/src/keeper.rs
+++ b/crates/linkhold-gateway/src/keeper.rs
@@ -194,7 +194,7 @@
                 gateway.cluster.announce_instance(instance, Instant::now());
             }
             DirectoryChange::Absent(name) => {
-                gateway.cluster.vanish_instance(&name, Instant::now());
+                gateway.cluster.unlist_instance(&name, Instant::now());
             }
         }
     }
