--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -66,7 +66,7 @@
     primary_regions: Mutex<Arc<HashMap<ServiceName, AllowedRegions>>>,
     directory_read_at: Mutex<Option<Instant>>,
     instances: Mutex<KnownInstances>,
-    directory_place: Mutex<StorePlace>,
+    directory_revision: Mutex<StorePlace>,
     /// Terms in which logs were proved to end after another one, newest of each service; the
     /// store is to keep them.
     risen_terms: Mutex<BTreeMap<ServiceName, Term>>,
@@ -93,7 +93,7 @@
             primary_regions: Mutex::default(),
             directory_read_at: Mutex::default(),
             instances: Mutex::default(),
-            directory_place: Mutex::default(),
+            directory_revision: Mutex::default(),
             risen_terms: Mutex::default(),
             term_risen: Notify::new(),
             unsettled: Mutex::default(),
@@ -159,7 +159,7 @@
     /// Takes in everything that is listed as of a place in the store's changes,
     /// unless more is known already: what is known never goes back.
     pub fn replace_instances(&self, listed: Vec<Instance>, place: StorePlace, now: Instant) {
-        let known = self.directory_place();
+        let known = self.directory_revision();
         if !self.advance_directory(place) {
             return;
         }
@@ -197,7 +197,7 @@
     /// The list of instances is known up to a place in the store's changes;
     /// `false` if it was known further already.
     pub fn advance_directory(&self, place: StorePlace) -> bool {
-        let mut known = lock(&self.directory_place);
+        let mut known = lock(&self.directory_revision);
         let is_news = place >= *known;
         if is_news {
             *known = place;
@@ -206,8 +206,8 @@
     }
 
     /// The place in the store's changes up to which instances are known.
-    pub fn directory_place(&self) -> StorePlace {
-        *lock(&self.directory_place)
+    pub fn directory_revision(&self) -> StorePlace {
+        *lock(&self.directory_revision)
     }
 
     /// An instance is announced or changed its announcement.
@@ -256,12 +256,12 @@
     }
 
     /// The directory could not be read.
-    pub fn directory_disturbed(&self) {
+    pub fn directory_read_failed(&self) {
         lock(&self.instances).directory.disturbed();
     }
 
     /// The directory was read, by this node or the reader it follows.
-    pub fn directory_read(&self) {
+    pub fn directory_read_succeeded(&self) {
         let now = Instant::now();
         lock(&self.instances).directory.read(now);
         *lock(&self.directory_read_at) = Some(now);
@@ -269,7 +269,7 @@
 
     /// What is known of the list of instances was true at a moment. As long as entries may
     /// be missing that lapsed with the store, or that a copy lacks, that tells nothing.
-    pub fn directory_vouched(&self, moment: Instant) {
+    pub fn confirm_directory_as_of(&self, moment: Instant) {
         let mut known = lock(&self.instances);
         if known.directory.is_whole_as_of(moment) {
             known.directory_as_of = known.directory_as_of.max(Some(moment));
--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -134,7 +134,7 @@
     }
 
     /// What is known of evacuations was true at a moment.
-    pub fn evacuations_vouched(&self, moment: Instant) {
+    pub fn confirm_evacuations_as_of(&self, moment: Instant) {
         lock(&self.instances).evacuations.vouched(moment);
     }
 
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -317,13 +317,13 @@
         }
         self.fleet.adopt(self.gateway);
         self.instances.adopt(self.gateway);
-        self.gateway.cluster.directory_read();
+        self.gateway.cluster.directory_read_succeeded();
         // Time on the way makes this too late, by less than the bound leaves.
         if let Some(moment) = now.checked_sub(age) {
-            self.gateway.cluster.evacuations_vouched(moment);
+            self.gateway.cluster.confirm_evacuations_as_of(moment);
         }
         if let Some(moment) = self.moment_of(list) {
-            self.gateway.cluster.directory_vouched(moment);
+            self.gateway.cluster.confirm_directory_as_of(moment);
         }
         let silent_at = now + (freshness.trust - age);
         *self.trusted_until = silent_at;
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -159,7 +159,7 @@
 impl InstanceSnapshot {
     fn take(revision: u64, cluster: &ClusterState) -> Self {
         // Read first: what is listed may be newer than that, never older.
-        let place = cluster.directory_place();
+        let place = cluster.directory_revision();
         let instances = cluster.all_instances().into_iter();
         Self {
             revision,
--- a/crates/linkhold-gateway/src/keeper.rs
+++ b/crates/linkhold-gateway/src/keeper.rs
@@ -112,7 +112,7 @@
     let cluster = &gateway.cluster;
     // Before the configuration, with which a node begins to serve.
     cluster.replace_evacuations(state.evacuated, next, Instant::now());
-    cluster.evacuations_vouched(asked_at);
+    cluster.confirm_evacuations_as_of(asked_at);
     if let Some(configuration) = state.configuration {
         cluster.adopt_configuration(configuration);
     }
@@ -129,7 +129,7 @@
     let (changes, next) = bounded(call, wait + READ_TIMEOUT).await?;
     let cluster = &gateway.cluster;
     cluster.change_evacuations(changes.evacuations, next, Instant::now());
-    cluster.evacuations_vouched(asked_at);
+    cluster.confirm_evacuations_as_of(asked_at);
     if let Some(configuration) = changes.configuration {
         cluster.adopt_configuration(configuration);
     }
@@ -155,7 +155,7 @@
                 place = Some(next);
             }
             Err(error) => {
-                gateway.cluster.directory_disturbed();
+                gateway.cluster.directory_read_failed();
                 place = None;
                 contact.failed(error).await;
                 // One of this node's tasks finds out that the store is back.
@@ -174,7 +174,7 @@
     gateway
         .cluster
         .replace_instances(listed, next, Instant::now());
-    gateway.cluster.directory_vouched(asked_at);
+    gateway.cluster.confirm_directory_as_of(asked_at);
     Ok(next)
 }
 
@@ -199,12 +199,12 @@
         }
     }
     gateway.cluster.advance_directory(next);
-    gateway.cluster.directory_read();
+    gateway.cluster.directory_read_succeeded();
     // A question without news was held for the whole time.
     let held_until = asked_at + wait;
     let was_held = !has_changes && Instant::now() >= held_until;
     let as_of = if was_held { held_until } else { asked_at };
-    gateway.cluster.directory_vouched(as_of);
+    gateway.cluster.confirm_directory_as_of(as_of);
     if has_changes {
         sleep(GATHER_TIME).await;
     }
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -132,7 +132,7 @@
         }
         let situation = self.situation(gateway);
         if situation.now >= self.trusted_until && !gateway.sources.is_reading() {
-            gateway.cluster.directory_disturbed();
+            gateway.cluster.directory_read_failed();
         }
         match self.search.next(&situation) {
             Step::Follow => self.follow(gateway, Patience::UntilStale).await,
