--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -69,11 +69,11 @@
     directory_revision: Mutex<StorePlace>,
     /// Terms in which logs were proved to end after another one, newest of each service; the
     /// store is to keep them.
-    risen_terms: Mutex<BTreeMap<ServiceName, Term>>,
+    terms_to_store: Mutex<BTreeMap<ServiceName, Term>>,
     /// A term was added to them.
-    term_risen: Notify,
+    term_to_store_added: Notify,
     /// Services of which the store does not keep whether a claimed successor was promoted.
-    unsettled: Mutex<HashSet<ServiceName>>,
+    unconfirmed_promotions: Mutex<HashSet<ServiceName>>,
     changes: watch::Sender<u64>,
     /// Counts changes of the configuration and of the list of instances alone.
     told: watch::Sender<u64>,
@@ -94,9 +94,9 @@
             directory_read_at: Mutex::default(),
             instances: Mutex::default(),
             directory_revision: Mutex::default(),
-            risen_terms: Mutex::default(),
-            term_risen: Notify::new(),
-            unsettled: Mutex::default(),
+            terms_to_store: Mutex::default(),
+            term_to_store_added: Notify::new(),
+            unconfirmed_promotions: Mutex::default(),
             changes: watch::channel(0).0,
             told: watch::channel(0).0,
             permission: OwnPermission::default(),
@@ -428,19 +428,19 @@
 
     /// Records evidence of a primary's log.
     pub fn record_evidence(&self, service: &ServiceName, sample: Sample) {
-        self.term_seen(service, sample.position.term);
+        self.observe_term(service, sample.position.term);
         let mut instances = lock(&self.instances);
         let evidence = instances.evidence.entry(service.clone()).or_default();
         let previous = evidence.newest_term();
         evidence.record(sample);
         drop(instances);
-        let is_settled_now = lock(&self.unsettled).remove(service);
-        let has_risen = previous.is_some_and(|previous| previous < sample.position.term);
-        if has_risen || is_settled_now {
-            lock(&self.risen_terms).insert(service.clone(), sample.position.term);
-            self.term_risen.notify_one();
+        let was_unconfirmed = lock(&self.unconfirmed_promotions).remove(service);
+        let is_newer_term = previous.is_some_and(|previous| previous < sample.position.term);
+        if is_newer_term || was_unconfirmed {
+            lock(&self.terms_to_store).insert(service.clone(), sample.position.term);
+            self.term_to_store_added.notify_one();
         }
-        if has_risen {
+        if is_newer_term {
             Event::info("term_changed")
                 .field("service", service)
                 .field("position", sample.position)
@@ -451,26 +451,26 @@
 
     /// The store does not keep whether a claimed successor was promoted: the next proof of who
     /// leads is to be kept.
-    pub fn lead_unsettled(&self, service: &ServiceName) {
-        lock(&self.unsettled).insert(service.clone());
+    pub fn mark_promotion_unconfirmed(&self, service: &ServiceName) {
+        lock(&self.unconfirmed_promotions).insert(service.clone());
     }
 
     /// A primary's log was proved to end in a term, as the store keeps.
-    pub fn term_proved(&self, service: &ServiceName, term: Term) {
-        self.term_seen(service, term);
+    pub fn observe_proved_term(&self, service: &ServiceName, term: Term) {
+        self.observe_term(service, term);
         let mut instances = lock(&self.instances);
         let evidence = instances.evidence.entry(service.clone()).or_default();
         evidence.term_proved(term);
     }
 
     /// Waits until there are terms that the store is to keep.
-    pub async fn term_risen(&self) {
-        self.term_risen.notified().await;
+    pub async fn wait_for_term_to_store(&self) {
+        self.term_to_store_added.notified().await;
     }
 
     /// Takes the terms that the store is to keep.
-    pub fn take_risen_terms(&self) -> BTreeMap<ServiceName, Term> {
-        std::mem::take(&mut lock(&self.risen_terms))
+    pub fn take_terms_to_store(&self) -> BTreeMap<ServiceName, Term> {
+        std::mem::take(&mut lock(&self.terms_to_store))
     }
 
     /// The lowest position that covers everything acknowledged before `moment`.
--- a/crates/linkhold-gateway/src/cluster_state/primaries.rs
+++ b/crates/linkhold-gateway/src/cluster_state/primaries.rs
@@ -65,7 +65,7 @@
     }
 
     /// An instance of a service follows a term, or answered in it as a primary.
-    pub fn term_seen(&self, service: &ServiceName, term: Term) {
+    pub fn observe_term(&self, service: &ServiceName, term: Term) {
         let mut known = lock(&self.instances);
         let newest = known.terms.entry(service.clone()).or_insert(term);
         *newest = term.max(*newest);
--- a/crates/linkhold-gateway/src/evidence/primary_verification.rs
+++ b/crates/linkhold-gateway/src/evidence/primary_verification.rs
@@ -48,7 +48,7 @@
     let instances = gateway.cluster.instances(&primary.service);
     let statuses = survey::statuses_by_any_way(gateway, &instances).await;
     for status in &statuses {
-        gateway.cluster.term_seen(&primary.service, status.term);
+        gateway.cluster.observe_term(&primary.service, status.term);
     }
     match determine_verdict(gateway, primary, &statuses).await {
         LeadVerdict::Leads => {
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -214,7 +214,7 @@
         .collect();
     let statuses = survey::statuses(gateway, &others).await;
     for status in &statuses {
-        gateway.cluster.term_seen(service, status.term);
+        gateway.cluster.observe_term(service, status.term);
     }
     Situation {
         service: service.clone(),
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -34,7 +34,7 @@
 pub(crate) async fn update_promotion_records<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut known: BTreeMap<ServiceName, Risen> = BTreeMap::new();
     loop {
-        for (service, term) in gateway.cluster.take_risen_terms() {
+        for (service, term) in gateway.cluster.take_terms_to_store() {
             known.insert(
                 service,
                 Risen {
@@ -50,7 +50,7 @@
             }
         }
         // Time passing is as good a reason to look again as a new term.
-        let _ = timeout(RETRY_INTERVAL, gateway.cluster.term_risen()).await;
+        let _ = timeout(RETRY_INTERVAL, gateway.cluster.wait_for_term_to_store()).await;
     }
 }
 
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -387,10 +387,10 @@
 ) {
     for (service, record) in records {
         if let Some(term) = record.proved_term {
-            gateway.cluster.term_proved(service, term);
+            gateway.cluster.observe_proved_term(service, term);
         }
         if !record.claimed.is_empty() {
-            gateway.cluster.lead_unsettled(service);
+            gateway.cluster.mark_promotion_unconfirmed(service);
         }
     }
     gateway.promotion_records.replace(records);
