--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -76,7 +76,7 @@
     unconfirmed_promotions: Mutex<HashSet<ServiceName>>,
     changes: watch::Sender<u64>,
     /// Counts changes of the configuration and of the list of instances alone.
-    told: watch::Sender<u64>,
+    list_changes: watch::Sender<u64>,
     /// Whether this node may speak for primaries.
     pub(crate) permission: OwnPermission,
 }
@@ -98,7 +98,7 @@
             term_to_store_added: Notify::new(),
             unconfirmed_promotions: Mutex::default(),
             changes: watch::channel(0).0,
-            told: watch::channel(0).0,
+            list_changes: watch::channel(0).0,
             permission: OwnPermission::default(),
         }
     }
@@ -110,12 +110,12 @@
 
     /// Wakes when the configuration or the list of instances changes.
     pub fn subscribe_to_lists(&self) -> watch::Receiver<u64> {
-        self.told.subscribe()
+        self.list_changes.subscribe()
     }
 
     /// Rises with every change of the configuration or the list of instances.
-    pub fn lists_revision(&self) -> u64 {
-        *self.told.borrow()
+    pub fn list_change_count(&self) -> u64 {
+        *self.list_changes.borrow()
     }
 
     /// All instances, and whether each is listed.
@@ -499,7 +499,7 @@
     }
 
     fn lists_changed(&self) {
-        self.told.send_modify(|count| *count += 1);
+        self.list_changes.send_modify(|count| *count += 1);
         self.announce_change();
     }
 
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -308,7 +308,7 @@
         let frame = frames.configuration(&configuration, key);
         news.push((FeedKind::Configuration, frame));
     }
-    let revision = gateway.cluster.lists_revision();
+    let revision = gateway.cluster.list_change_count();
     if told.revision != Some(revision) {
         told.revision = Some(revision);
         let (present, frame) =
