--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -412,13 +412,13 @@
     }
 
     /// Updates what traffic tells of an instance.
-    pub fn observe(&self, id: &InstanceId, update: impl FnOnce(&mut InstanceHealth)) {
+    pub fn update_health(&self, id: &InstanceId, update: impl FnOnce(&mut InstanceHealth)) {
         let mut instances = lock(&self.instances);
         update(instances.health.entry(id.clone()).or_default());
     }
 
     /// Reads what traffic tells of an instance.
-    pub fn inspect<T>(
+    pub fn read_health<T>(
         &self,
         id: &InstanceId,
         read: impl FnOnce(&InstanceHealth) -> T,
--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -175,7 +175,7 @@
 
     /// Why no instance of a service may run a request of these regions at all, nor
     /// will before something changes; `None` if one may, or none is known.
-    pub fn barrier(&self, service: &str, regions: &AllowedRegions) -> Option<Ineligible> {
+    pub fn ineligible_reason(&self, service: &str, regions: &AllowedRegions) -> Option<Ineligible> {
         let instances = lock(&self.instances);
         if !regions.is_bound() && instances.evacuations.is_empty() {
             return None;
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -38,7 +38,7 @@
     );
     let is_failing = gateway
         .cluster
-        .inspect(&primary.id, |health| health.is_failing())
+        .read_health(&primary.id, |health| health.is_failing())
         .unwrap_or(false);
     if !is_failing && !gateway.watches(service) {
         // Others are better placed to find out, and this node's own traffic passes.
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -175,7 +175,7 @@
             gateway.cluster.is_leaving(&primary.id, now)
                 || gateway
                     .cluster
-                    .inspect(&primary.id, |health| health.is_failing())
+                    .read_health(&primary.id, |health| health.is_failing())
                     .unwrap_or(false)
         }
     }
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -180,10 +180,10 @@
         let now = Instant::now();
         let was_failing = self
             .cluster
-            .inspect(&instance.id, |health| health.is_failing())
+            .read_health(&instance.id, |health| health.is_failing())
             .unwrap_or(false);
         self.cluster
-            .observe(&instance.id, |health| health.failed(now));
+            .update_health(&instance.id, |health| health.failed(now));
         self.pools.close_idle(&instance.id);
         self.warm_ups.doubted(&instance.id);
         self.metrics.instance_failures.add();
@@ -207,7 +207,7 @@
         position: Option<Position>,
     ) {
         let now = Instant::now();
-        self.cluster.observe(id, |health| {
+        self.cluster.update_health(id, |health| {
             health.succeeded(now, took);
             if let Some(position) = position {
                 health.holds(position);
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -46,10 +46,10 @@
             BackendErrorKind::ReadOnly => self.instance_denied_primary(instance),
             BackendErrorKind::Busy | BackendErrorKind::TooManyConnections => self
                 .cluster
-                .observe(&instance.id, |health| health.was_busy(now, BUSY_PAUSE)),
+                .update_health(&instance.id, |health| health.was_busy(now, BUSY_PAUSE)),
             BackendErrorKind::Lagging => self
                 .cluster
-                .observe(&instance.id, |health| health.lagged(now)),
+                .update_health(&instance.id, |health| health.lagged(now)),
             BackendErrorKind::WrongInstance => {
                 self.instance_failed(instance, "address_used_by_another");
             }
@@ -90,7 +90,7 @@
     /// Whether an instance has answered on some connection since a moment.
     pub(crate) fn answered_since(&self, instance: &Instance, moment: Instant) -> bool {
         self.cluster
-            .inspect(&instance.id, |health| health.last_success())
+            .read_health(&instance.id, |health| health.last_success())
             .flatten()
             .is_some_and(|at| at >= moment)
     }
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -90,7 +90,7 @@
     let now = Instant::now();
     gateway
         .cluster
-        .observe(&instance.id, |health| health.begin_trial(now));
+        .update_health(&instance.id, |health| health.begin_trial(now));
     if let Some(owners) = gateway.pools.owners_of(instance, &gateway.cluster) {
         let asked = if gateway.cluster.is_cold(&instance.id) {
             owners.permitted_spenders(&principal)
--- a/crates/linkhold-gateway/src/request/conversation.rs
+++ b/crates/linkhold-gateway/src/request/conversation.rs
@@ -67,7 +67,7 @@
     pub fn start(gateway: &'a Gateway<P>, instance: &Arc<Instance>) -> Self {
         gateway
             .cluster
-            .observe(&instance.id, |health| health.begin());
+            .update_health(&instance.id, |health| health.begin());
         Self {
             gateway,
             instance: instance.clone(),
@@ -79,7 +79,7 @@
     fn drop(&mut self) {
         self.gateway
             .cluster
-            .observe(&self.instance.id, |health| health.end());
+            .update_health(&self.instance.id, |health| health.end());
     }
 }
 
@@ -107,7 +107,7 @@
 fn silence_limit<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> Duration {
     let usual = gateway
         .cluster
-        .inspect(&instance.id, |health| health.latency())
+        .read_health(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
     LEAST_SILENCE.max(usual * SILENCE_LATENCIES)
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -208,7 +208,7 @@
             },
             None => {
                 gateway.attention.suspect(service);
-                gateway.cluster.barrier(service, unit.regions)
+                gateway.cluster.ineligible_reason(service, unit.regions)
             }
         };
         if let Some(barred) = barred
@@ -298,7 +298,7 @@
             return Err(Failure::NotRun(reason));
         }
         let service = &unit.route.service;
-        if let Some(barred) = gateway.cluster.barrier(service, unit.regions) {
+        if let Some(barred) = gateway.cluster.ineligible_reason(service, unit.regions) {
             return Err(Failure::NotRun(read_refusal(barred)));
         }
         let fence = read_fence(gateway, unit, marks, rounds).await?;
@@ -322,7 +322,7 @@
             Attempt::Answered(answer) => {
                 gateway
                     .cluster
-                    .observe(&instance.id, |health| health.was_fresh_enough());
+                    .update_health(&instance.id, |health| health.was_fresh_enough());
                 return Ok(answer);
             }
             Attempt::NotRun(cause) => {
@@ -330,7 +330,7 @@
                 retrying(gateway, work, &instance, cause);
                 if let NotRunCause::WarmingUp(after) = cause {
                     let cluster = &gateway.cluster;
-                    cluster.observe(&instance.id, |health| health.was_busy(now, after));
+                    cluster.update_health(&instance.id, |health| health.was_busy(now, after));
                 }
             }
             Attempt::Lost | Attempt::TimedOut if opening != Opening::Alone => {
@@ -409,7 +409,7 @@
 ) -> Bounds {
     let usual = gateway
         .cluster
-        .inspect(&instance.id, |health| health.latency())
+        .read_health(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
     let attempt = LEAST_READ_ATTEMPT.max(usual * READ_ATTEMPT_LATENCIES);
