--- a/crates/linkhold-gateway/src/evidence/primary_verification.rs
+++ b/crates/linkhold-gateway/src/evidence/primary_verification.rs
@@ -46,7 +46,7 @@
         return Err(cause);
     }
     let instances = gateway.cluster.instances(&primary.service);
-    let statuses = survey::statuses_by_any_way(gateway, &instances).await;
+    let statuses = survey::statuses_direct_or_relayed(gateway, &instances).await;
     for status in &statuses {
         gateway.cluster.observe_term(&primary.service, status.term);
     }
@@ -104,7 +104,7 @@
     if gateway.relays.is_relayed(&primary.id) {
         return NotRunCause::Unreachable;
     }
-    match survey::begin(gateway, primary).await {
+    match survey::probe_write_transaction(gateway, primary).await {
         Ok(reply) if reply.error() == Some(BackendErrorKind::ReadOnly) => {
             gateway.instance_denied_primary(primary);
             NotRunCause::Refused(BackendErrorKind::ReadOnly)
--- a/crates/linkhold-gateway/src/evidence/probe.rs
+++ b/crates/linkhold-gateway/src/evidence/probe.rs
@@ -41,7 +41,7 @@
         if let Some(position) = gateway.cluster.fence(service, moment) {
             return Some(position);
         }
-        ask_in_background(gateway, service, moment);
+        request_evidence(gateway, service, moment);
         timeout_at(deadline.into(), changes.changed())
             .await
             .ok()?
@@ -53,7 +53,7 @@
 /// primary itself if this node owns connections to it, or else the reader that
 /// is followed. An owner that asked its reader would be asked back: readers ask
 /// owners.
-pub(crate) fn ask_in_background<P: Platform>(
+pub(crate) fn request_evidence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
     moment: Instant,
@@ -160,6 +160,6 @@
             lease.release();
         }
         Ok(Err(_)) => gateway.connection_lost(&primary),
-        Err(_) => gateway.instance_silent(&primary, sent_at),
+        Err(_) => gateway.statement_timed_out(&primary, sent_at),
     }
 }
--- a/crates/linkhold-gateway/src/evidence/survey.rs
+++ b/crates/linkhold-gateway/src/evidence/survey.rs
@@ -24,12 +24,12 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Tries to reach an instance as a primary.
-pub(crate) async fn reach_primary<P: Platform>(
+pub(crate) async fn probe_primary<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
 ) -> Reachability {
     let sent_at = Instant::now();
-    let reply = match begin(gateway, instance).await {
+    let reply = match probe_write_transaction(gateway, instance).await {
         Ok(reply) => reply,
         // It lives, and has all the connections it can take.
         Err(ConnectError::Rejected) => return Reachability::Reached,
@@ -53,7 +53,7 @@
 
 /// Begins a writing transaction and rolls it back, which takes no slot; the reply to the
 /// beginning.
-pub(crate) async fn begin<P: Platform>(
+pub(crate) async fn probe_write_transaction<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
 ) -> Result<BackendReply, ConnectError> {
@@ -79,7 +79,7 @@
 
 /// The statuses of those instances that answer, directly or through a peer that serves this
 /// node's connections to them.
-pub(crate) async fn statuses_by_any_way<P: Platform>(
+pub(crate) async fn statuses_direct_or_relayed<P: Platform>(
     gateway: &Gateway<P>,
     instances: &[Arc<Instance>],
 ) -> Vec<InstanceStatus> {
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -45,7 +45,7 @@
         return judge_by_watchers(&primary, peers.await.tally);
     }
     tokio::pin!(peers);
-    let own = survey::reach_primary(gateway, &primary);
+    let own = survey::probe_primary(gateway, &primary);
     tokio::pin!(own);
     // Both run at once; the own finding decides alone unless it is a failure.
     let (own, early) = tokio::select! {
--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -231,7 +231,7 @@
                 Ended::Attempt(Attempt::TimedOut)
             }
             Err(CallFailure::NoAnswer) => {
-                self.gateway.instance_silent(self.instance, sent_at);
+                self.gateway.statement_timed_out(self.instance, sent_at);
                 Ended::Attempt(Attempt::TimedOut)
             }
         }
@@ -298,7 +298,7 @@
                 Attempt::Lost
             }
             ForwardOutcome::TimedOut => {
-                gateway.instance_silent(self.instance, sent_at);
+                gateway.statement_timed_out(self.instance, sent_at);
                 Attempt::TimedOut
             }
         })
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -60,14 +60,14 @@
     }
 
     /// A statement got no answer in time.
-    pub(crate) fn instance_silent(&self, instance: &Instance, sent_at: Instant) {
+    pub(crate) fn statement_timed_out(&self, instance: &Instance, sent_at: Instant) {
         if !self.answered_since(instance, sent_at) {
             self.instance_failed(instance, "silent");
         }
     }
 
     /// A statement has waited unusually long.
-    pub(crate) fn look_at_silent(&self, instance: &Instance, sent_at: Instant) {
+    pub(crate) fn suspect_if_primary_is_silent(&self, instance: &Instance, sent_at: Instant) {
         let is_primary = self
             .cluster
             .primary(&instance.service)
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -329,7 +329,7 @@
 }
 
 async fn try_to_reach<P: Platform>(gateway: &Gateway<P>, instance: &Arc<Instance>) -> Reachability {
-    let found = survey::reach_primary(gateway, instance).await;
+    let found = survey::probe_primary(gateway, instance).await;
     gateway.peers.tried(&instance.id, found);
     found
 }
--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -189,7 +189,7 @@
         };
         let gateway = gateway.clone();
         tokio::spawn(async move {
-            let found = survey::reach_primary(&gateway, &instance).await;
+            let found = survey::probe_primary(&gateway, &instance).await;
             if found != Reachability::Unreached && gateway.relays.forget(&id) {
                 Event::info("relay_ended").field("instance", &id).log();
             }
--- a/crates/linkhold-gateway/src/request/conversation.rs
+++ b/crates/linkhold-gateway/src/request/conversation.rs
@@ -42,7 +42,7 @@
     match exchanged {
         None => {
             lease.suspect_elders(sent_at.into());
-            gateway.instance_silent(&instance, sent_at);
+            gateway.statement_timed_out(&instance, sent_at);
             Conversation::Silent
         }
         Some(Err(error)) => {
@@ -98,7 +98,7 @@
     if look_at < answer_by {
         tokio::select! {
             replies = &mut exchange => return Some(replies),
-            () = sleep_until(look_at.into()) => gateway.look_at_silent(&instance, sent_at),
+            () = sleep_until(look_at.into()) => gateway.suspect_if_primary_is_silent(&instance, sent_at),
         }
     }
     timeout_at(answer_by.into(), exchange).await.ok()
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -370,7 +370,7 @@
         oldest
     };
     if rounds > 0 {
-        probe::ask_in_background(gateway, service, Instant::now());
+        probe::request_evidence(gateway, service, Instant::now());
     }
     refresh_ahead(gateway, service, staleness);
     let evidence = probe::fence(gateway, service, moment, unit.wait_until())
@@ -396,7 +396,7 @@
     if is_old {
         let moment = Instant::now().checked_sub(staleness / 2);
         let moment = moment.unwrap_or_else(Instant::now);
-        probe::ask_in_background(gateway, service, moment);
+        probe::request_evidence(gateway, service, moment);
     }
 }
 
