--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -11,7 +11,7 @@
 use linkhold_events::Event;
 use linkhold_peer::{QuestionPurpose, QuestionSubject, Reachability};
 
-use super::Trouble;
+use super::FailoverReason;
 use super::promotion::Situation;
 use crate::evidence::survey;
 use crate::gateway::Gateway;
@@ -24,9 +24,9 @@
 pub(super) async fn diagnose<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
-) -> Option<Trouble> {
+) -> Option<FailoverReason> {
     let Some(primary) = gateway.cluster.primary(service) else {
-        return Some(Trouble::Unknown);
+        return Some(FailoverReason::Unknown);
     };
     let audience = Audience::for_look(gateway, service);
     let peers = peers::ask(
@@ -57,14 +57,14 @@
             gateway.relays.forget(&primary.id);
             gateway.instance_answered(&primary.id, Duration::ZERO, None);
             if gateway.cluster.is_leaving(&primary.id, Instant::now()) {
-                return Some(Trouble::Leaving);
+                return Some(FailoverReason::Leaving);
             }
             let misplaced = gateway.cluster.is_primary_misplaced(service);
-            misplaced.then_some(Trouble::Misplaced)
+            misplaced.then_some(FailoverReason::Misplaced)
         }
         Reachability::NotPrimary => {
             gateway.cluster.deny_primary(&primary.id);
-            Some(Trouble::Unknown)
+            Some(FailoverReason::Unknown)
         }
         Reachability::Unreached => {
             // Through a peer it may be served all the while.
@@ -113,15 +113,15 @@
 }
 
 /// Judges a primary by what its watchers found.
-fn judge_by_watchers(primary: &Instance, tally: ReachabilityTally) -> Option<Trouble> {
+fn judge_by_watchers(primary: &Instance, tally: ReachabilityTally) -> Option<FailoverReason> {
     log_tally(&primary.service, &primary.id.0, tally);
     if tally.reached > 0 {
         return None;
     }
     if tally.not_primary > 0 {
-        return Some(Trouble::Unknown);
+        return Some(FailoverReason::Unknown);
     }
-    Some(Trouble::Lost)
+    Some(FailoverReason::Lost)
 }
 
 /// Asks some watchers of a service who leads it; whether that is known now.
@@ -145,16 +145,16 @@
 
 /// Judges a primary that this node does not reach by what others found. Where
 /// only some were asked, [`confirm_lost`] asks the rest.
-fn judge_unreached(primary: &Instance, mut tally: ReachabilityTally) -> Option<Trouble> {
+fn judge_unreached(primary: &Instance, mut tally: ReachabilityTally) -> Option<FailoverReason> {
     tally.unreached += 1;
     log_tally(&primary.service, &primary.id.0, tally);
     if tally.reached > 0 {
         return None;
     }
     if tally.not_primary > 0 {
-        return Some(Trouble::Unknown);
+        return Some(FailoverReason::Unknown);
     }
-    tally.is_lost().then_some(Trouble::Lost)
+    tally.is_lost().then_some(FailoverReason::Lost)
 }
 
 fn log_tally(service: &ServiceName, instance: &str, tally: ReachabilityTally) {
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -91,7 +91,7 @@
 
 /// What is wrong with a service's primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum FailoverReason {
     /// Nobody is known to be primary.
     Unknown,
     /// It is not reached by most nodes.
@@ -109,7 +109,7 @@
             return;
         }
         let subject = primary_id(gateway, service);
-        let Some(trouble) = diagnose(gateway, service).await else {
+        let Some(reason) = diagnose(gateway, service).await else {
             sleep(CALM_PAUSE).await;
             return;
         };
@@ -117,8 +117,8 @@
             return wait_for_watchers(gateway, service).await;
         }
         sleep(rank_delay(gateway, service)).await;
-        replace(gateway, service, trouble, subject.as_ref()).await;
-        if trouble == Trouble::Misplaced {
+        replace(gateway, service, reason, subject.as_ref()).await;
+        if reason == FailoverReason::Misplaced {
             // It serves all the while: the next try comes when it is due.
             return;
         }
--- a/crates/linkhold-gateway/src/failover/order.rs
+++ b/crates/linkhold-gateway/src/failover/order.rs
@@ -12,7 +12,7 @@
 use linkhold_events::Event;
 use tokio::time::{timeout, timeout_at};
 
-use super::Trouble;
+use super::FailoverReason;
 use super::diagnosis::Agreement;
 use super::lease::{Claim, prepare_order, settle_order};
 use crate::evidence::survey;
@@ -27,7 +27,7 @@
 /// On what an order rests.
 pub(super) struct Grounds {
     /// What is wrong with the primary.
-    pub trouble: Trouble,
+    pub reason: FailoverReason,
     /// The lease.
     pub claim: Claim,
     /// What the other nodes agreed to; `None` if the primary ended its term itself.
@@ -165,7 +165,7 @@
         .field("successor", &order.successor)
         .field("token", order.token)
         .field("received", received)
-        .field("because", format_args!("{:?}", grounds.trouble))
+        .field("because", format_args!("{:?}", grounds.reason))
         .field("lease_age_ms", age_ms(grounds.claim.asked_at))
         .field("agreed_ms_ago", agreed_ms_ago)
         .field("silent_former", silent_former)
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -16,7 +16,7 @@
 use super::diagnosis::{Agreement, confirm_none_leads, confirm_not_replaced, learn_leader};
 use super::lease::{Claim, claim};
 use super::order::{Grounds, OrderEnd, order};
-use super::{Trouble, is_still_subject};
+use super::{FailoverReason, is_still_subject};
 use crate::evidence::{primary_verification, survey};
 use crate::gateway::Gateway;
 use crate::ports::Platform;
@@ -40,34 +40,34 @@
 pub(super) async fn replace<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
-    trouble: Trouble,
+    reason: FailoverReason,
     subject: Option<&InstanceId>,
 ) {
     if !is_still_subject(gateway, service, subject) {
         return;
     }
     let situation = survey_service(gateway, service).await;
-    if trouble == Trouble::Unknown && find_primary(gateway, &situation).await {
+    if reason == FailoverReason::Unknown && find_primary(gateway, &situation).await {
         return;
     }
-    let Some(successor) = successor(gateway, service, trouble, &situation) else {
+    let Some(successor) = successor(gateway, service, reason, &situation) else {
         return;
     };
     let Some(claimed) = claim(gateway, service, &successor.status.id).await else {
         return;
     };
     let grounds = |claim, agreement| Grounds {
-        trouble,
+        reason,
         claim,
         agreement,
     };
-    match trouble {
-        Trouble::Leaving | Trouble::Misplaced => {
+    match reason {
+        FailoverReason::Leaving | FailoverReason::Misplaced => {
             let grounds = grounds(claimed, None);
             switch_over(gateway, &situation, &successor.status, grounds).await;
         }
-        Trouble::Lost | Trouble::Unknown => {
-            let agreed = agree(gateway, trouble, &situation, claimed).await;
+        FailoverReason::Lost | FailoverReason::Unknown => {
+            let agreed = agree(gateway, reason, &situation, claimed).await;
             let Some((claimed, agreement)) = agreed else {
                 return;
             };
@@ -92,13 +92,13 @@
     else {
         return;
     };
-    let trouble = grounds.trouble;
-    let Some(ended) = end_term(gateway, situation, old, successor, trouble).await else {
+    let reason = grounds.reason;
+    let Some(ended) = end_term(gateway, situation, old, successor, reason).await else {
         return;
     };
     let service = &situation.service;
     let handed_over = grounds.claim.lease.clone();
-    let caught_up = catch_up(gateway, &instance, successor, &ended, trouble).await;
+    let caught_up = catch_up(gateway, &instance, successor, &ended, reason).await;
     if !is_still_subject(gateway, service, Some(&old.id)) {
         return grounds.give_up(gateway, service, "primary_changed").await;
     }
@@ -107,7 +107,7 @@
         None => OrderEnd::NotCarriedOut,
     };
     if end == OrderEnd::NotCarriedOut {
-        lead_again(gateway, old, &ended, &handed_over, trouble).await;
+        lead_again(gateway, old, &ended, &handed_over, reason).await;
     }
 }
 
@@ -120,7 +120,7 @@
     old: &Arc<Instance>,
     ended: &InstanceStatus,
     handed_over: &FailoverLease,
-    trouble: Trouble,
+    reason: FailoverReason,
 ) {
     let Some(present) = survey::status(gateway, old).await else {
         return;
@@ -147,7 +147,7 @@
         return;
     }
     let grounds = Grounds {
-        trouble,
+        reason,
         claim,
         agreement: None,
     };
@@ -161,12 +161,12 @@
 /// they were asked last.
 async fn agree<P: Platform>(
     gateway: &Gateway<P>,
-    trouble: Trouble,
+    reason: FailoverReason,
     situation: &Situation,
     claimed: Claim,
 ) -> Option<(Claim, Agreement)> {
     let service = &situation.service;
-    let agreement = ask_everyone(gateway, trouble, situation).await?;
+    let agreement = ask_everyone(gateway, reason, situation).await?;
     if agreement.silent_former == 0 {
         return Some((claimed, agreement));
     }
@@ -175,7 +175,7 @@
     // Whoever is listed from now on sees the claim, or is asked.
     let successor = claimed.lease.successor.as_ref()?;
     let claimed = claim(gateway, service, successor).await?;
-    let agreement = ask_everyone(gateway, trouble, situation).await?;
+    let agreement = ask_everyone(gateway, reason, situation).await?;
     Some((claimed, agreement))
 }
 
@@ -183,11 +183,13 @@
 /// be replaced; `None` if they do not agree.
 async fn ask_everyone<P: Platform>(
     gateway: &Gateway<P>,
-    trouble: Trouble,
+    reason: FailoverReason,
     situation: &Situation,
 ) -> Option<Agreement> {
     match &situation.old {
-        Some(primary) if trouble == Trouble::Lost => confirm_not_replaced(gateway, primary).await,
+        Some(primary) if reason == FailoverReason::Lost => {
+            confirm_not_replaced(gateway, primary).await
+        }
         // What was lost is no longer believed in: the others decide.
         _ => confirm_none_leads(gateway, situation).await,
     }
@@ -272,7 +274,7 @@
 fn successor<P: Platform>(
     gateway: &Gateway<P>,
     service: &str,
-    trouble: Trouble,
+    reason: FailoverReason,
     situation: &Situation,
 ) -> Option<Successor> {
     let now = Instant::now();
@@ -293,13 +295,13 @@
             is_warm: !gateway.cluster.is_cold(&status.id),
         })
         // A primary that serves is replaced only by one that is to stay.
-        .filter(|it| trouble != Trouble::Misplaced || it.is_well_placed && !it.is_leaving)
+        .filter(|it| reason != FailoverReason::Misplaced || it.is_well_placed && !it.is_leaving)
         .collect();
-    let candidates = match trouble {
-        Trouble::Leaving | Trouble::Misplaced => {
+    let candidates = match reason {
+        FailoverReason::Leaving | FailoverReason::Misplaced => {
             failover::candidates_to_wait_for(candidates, synchronous)
         }
-        Trouble::Unknown | Trouble::Lost => candidates,
+        FailoverReason::Unknown | FailoverReason::Lost => candidates,
     };
     let chosen = failover::choose_successor(&candidates, synchronous);
     if chosen.is_none() || situation.statuses.len() < required {
@@ -344,7 +346,7 @@
     situation: &Situation,
     old: &Arc<Instance>,
     successor: &InstanceStatus,
-    trouble: Trouble,
+    reason: FailoverReason,
 ) -> Option<InstanceStatus> {
     let present = survey::status(gateway, old).await?;
     // A node that stood still during another's hand-over did it once more when it woke,
@@ -357,9 +359,11 @@
         return None;
     }
     // One that is misplaced does not end by itself: it waits for its successor.
-    let leaving_for = match trouble {
-        Trouble::Leaving => gateway.cluster.leaving_for(&old.id, Instant::now())?,
-        Trouble::Unknown | Trouble::Lost | Trouble::Misplaced => Duration::ZERO,
+    let leaving_for = match reason {
+        FailoverReason::Leaving => gateway.cluster.leaving_for(&old.id, Instant::now())?,
+        FailoverReason::Unknown | FailoverReason::Lost | FailoverReason::Misplaced => {
+            Duration::ZERO
+        }
     };
     let drain = gateway.settings.drain;
     if !failover::may_hand_over(present.received, successor.received, leaving_for, drain) {
@@ -384,11 +388,13 @@
     instance: &Arc<Instance>,
     successor: &InstanceStatus,
     ended: &InstanceStatus,
-    trouble: Trouble,
+    reason: FailoverReason,
 ) -> Option<InstanceStatus> {
-    let limit = match trouble {
-        Trouble::Misplaced => MISPLACED_CATCH_UP_TIMEOUT,
-        Trouble::Unknown | Trouble::Lost | Trouble::Leaving => CATCH_UP_TIMEOUT,
+    let limit = match reason {
+        FailoverReason::Misplaced => MISPLACED_CATCH_UP_TIMEOUT,
+        FailoverReason::Unknown | FailoverReason::Lost | FailoverReason::Leaving => {
+            CATCH_UP_TIMEOUT
+        }
     };
     let deadline = Instant::now() + limit;
     let mut latest = successor.clone();
@@ -404,6 +410,6 @@
         .field("successor_position", latest.received)
         .log();
     // A leaving one is replaced all the same: it may be gone before it could lead again.
-    let undoes = trouble == Trouble::Misplaced && latest.received < ended.received;
+    let undoes = reason == FailoverReason::Misplaced && latest.received < ended.received;
     (!undoes).then_some(latest)
 }
