--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -1,6 +1,8 @@
-//! State of the cluster as this node knows it: configuration, instances, freshness;
-//! shared by all its sessions. Locks are held for a few steps and never across
-//! a wait.
+//! State of the cluster as this node knows it: configuration, instances, evidence of
+//! their logs.
+//!
+//! All sessions of the node share it. Locks are held for a few steps and never across
+//! an await.
 
 mod eligibility;
 mod primaries;
@@ -30,22 +32,23 @@
 
 /// Part of the drain time in which a leaving instance may get new work, in
 /// percent.
-const WORK_PERCENT: u32 = 60;
+const NEW_WORK_PERCENT: u32 = 60;
 
-/// How long after its first start a fleet has certainly replaced nobody: instances and nodes
-/// start together, and a replacement takes the list of nodes, which is whole after seconds.
+/// Time after its first start in which a fleet cannot have replaced a primary: instances and
+/// nodes start together, and a replacement needs the list of nodes, which takes seconds to
+/// become complete.
 const FIRST_START_TIME: Duration = Duration::from_secs(15);
 
-/// Known state of instances and their logs.
+/// Instances, their health, and evidence of their logs.
 #[derive(Debug, Default)]
 struct KnownInstances {
     directory: Directory,
     health: HashMap<InstanceId, InstanceHealth>,
     evidence: HashMap<ServiceName, EvidenceLog>,
-    /// The newest term of each service of which anything told.
+    /// The newest term of each service that any message or answer named.
     terms: HashMap<ServiceName, Term>,
     withholdings: Withholdings,
-    /// The last moment as of which the list of instances is known.
+    /// The latest moment as of which the list of instances is known to be complete.
     directory_as_of: Option<Instant>,
     evacuations: Evacuations,
     /// Entries whose absence counted when that was looked at last.
@@ -57,32 +60,32 @@
 pub struct ClusterState {
     places: Places,
     drain: Duration,
-    /// How soon nothing may be sent to an evacuated zone any more.
+    /// Time after which nothing may be sent to an evacuated zone any more.
     evacuation_bound: Duration,
     /// When the whole fleet was started for the first time; `None` if it runs already.
     first_started_at: Option<Instant>,
     configuration: Mutex<Option<Arc<Configuration>>>,
-    /// Where the primaries of services should stand that are bound to regions.
+    /// Regions that the primary of each region-bound service should stand in.
     primary_regions: Mutex<Arc<HashMap<ServiceName, AllowedRegions>>>,
     directory_read_at: Mutex<Option<Instant>>,
     instances: Mutex<KnownInstances>,
     directory_revision: Mutex<StorePlace>,
-    /// Terms in which logs were proved to end after another one, newest of each service; the
-    /// store is to keep them.
+    /// Terms that the store is to keep: for each service, the newest one in which its log was
+    /// proved to end after an older term.
     terms_to_store: Mutex<BTreeMap<ServiceName, Term>>,
-    /// A term was added to them.
+    /// Notified when a term is added to `terms_to_store`.
     term_to_store_added: Notify,
-    /// Services of which the store does not keep whether a claimed successor was promoted.
+    /// Services for which the store does not record whether a claimed successor was promoted.
     unconfirmed_promotions: Mutex<HashSet<ServiceName>>,
     changes: watch::Sender<u64>,
-    /// Counts changes of the configuration and of the list of instances alone.
+    /// Counts the changes of the configuration and of the list of instances only.
     list_changes: watch::Sender<u64>,
-    /// Whether this node may speak for primaries.
+    /// Whether this node may acknowledge writes and serve strict reads.
     pub(crate) permission: OwnPermission,
 }
 
 impl ClusterState {
-    /// Nothing is known.
+    /// Creates a state in which nothing is known.
     pub fn new(settings: &GatewaySettings) -> Self {
         Self {
             places: settings.places.clone(),
@@ -103,22 +106,22 @@
         }
     }
 
-    /// Wakes when configuration, instances, a primary or evidence change.
+    /// Receives changes of the configuration, instances, primaries and evidence.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Wakes when the configuration or the list of instances changes.
+    /// Receives changes of the configuration and of the list of instances.
     pub fn subscribe_to_lists(&self) -> watch::Receiver<u64> {
         self.list_changes.subscribe()
     }
 
-    /// Rises with every change of the configuration or the list of instances.
+    /// Number of changes of the configuration and of the list of instances so far.
     pub fn list_change_count(&self) -> u64 {
         *self.list_changes.borrow()
     }
 
-    /// All instances, and whether each is listed.
+    /// Returns all instances, and whether each is listed.
     pub fn all_instances(&self) -> Vec<(Instance, bool)> {
         lock(&self.instances).directory.all(Instant::now())
     }
@@ -128,7 +131,7 @@
         lock(&self.configuration).clone()
     }
 
-    /// Puts a configuration in force unless it is older than the present one.
+    /// Puts a configuration in force unless it is older than the current one.
     pub fn adopt_configuration(&self, configuration: Configuration) {
         let mut current = lock(&self.configuration);
         if !configuration.supersedes(current.as_deref()) {
@@ -143,10 +146,10 @@
         self.adopt_regions(&configuration);
         *current = Some(Arc::new(configuration));
         drop(current);
-        self.lists_changed();
+        self.notify_lists_changed();
     }
 
-    /// Limits of a service, if it is configured.
+    /// Limits of a service; `None` if it is not configured.
     pub fn limits(&self, service: &str) -> Option<ServiceLimits> {
         self.configuration()?.services.get(service).copied()
     }
@@ -156,17 +159,17 @@
         self.configuration().is_some() && !lock(&self.instances).directory.is_empty()
     }
 
-    /// Takes in everything that is listed as of a place in the store's changes,
-    /// unless more is known already: what is known never goes back.
-    pub fn replace_instances(&self, listed: Vec<Instance>, place: StorePlace, now: Instant) {
+    /// Replaces the list of instances by the one read at a revision of the store. Does
+    /// nothing if a newer revision is known: the known state never goes back.
+    pub fn replace_instances(&self, listed: Vec<Instance>, revision: StorePlace, now: Instant) {
         let known = self.directory_revision();
-        if !self.advance_directory(place) {
+        if !self.advance_directory(revision) {
             return;
         }
         for instance in &listed {
             self.log_instance(instance);
         }
-        let is_copy = known != StorePlace::default() && place.era() > known.era();
+        let is_copy = known != StorePlace::default() && revision.era() > known.era();
         let currency = if is_copy {
             Currency::MayBeOlder
         } else {
@@ -177,51 +180,51 @@
             instances.directory.disturbed();
         }
         let changes = instances.directory.replace(listed, currency, now);
-        if self.has_replaced_nobody(now) {
+        if self.is_first_fleet_start(now) {
             instances.directory.prove_all_leads();
         }
         drop(instances);
         for change in changes {
             log_primary(&change);
         }
-        self.lists_changed();
+        self.notify_lists_changed();
     }
 
-    /// Whether the fleet has just been started for the first time: whoever says then that it
-    /// leads was not replaced before.
-    fn has_replaced_nobody(&self, now: Instant) -> bool {
+    /// Whether the whole fleet has just been started for the first time: no instance that
+    /// announces that it is primary can have been replaced before.
+    fn is_first_fleet_start(&self, now: Instant) -> bool {
         let started_at = self.first_started_at;
         started_at.is_some_and(|at| now < at + FIRST_START_TIME)
     }
 
-    /// The list of instances is known up to a place in the store's changes;
-    /// `false` if it was known further already.
-    pub fn advance_directory(&self, place: StorePlace) -> bool {
+    /// Advances the store revision up to which instances are known; returns `false` if a
+    /// newer one was known.
+    pub fn advance_directory(&self, revision: StorePlace) -> bool {
         let mut known = lock(&self.directory_revision);
-        let is_news = place >= *known;
-        if is_news {
-            *known = place;
+        let is_current = revision >= *known;
+        if is_current {
+            *known = revision;
         }
-        is_news
+        is_current
     }
 
-    /// The place in the store's changes up to which instances are known.
+    /// The store revision up to which instances are known.
     pub fn directory_revision(&self) -> StorePlace {
         *lock(&self.directory_revision)
     }
 
-    /// An instance is announced or changed its announcement.
+    /// Takes in a new or changed announcement of an instance.
     pub fn announce_instance(&self, instance: Instance, now: Instant) {
         self.log_instance(&instance);
         let id = instance.id.clone();
         let mut instances = lock(&self.instances);
         let change = instances.directory.announce(instance, now);
-        if self.has_replaced_nobody(now) {
+        if self.is_first_fleet_start(now) {
             instances.directory.prove_lead(&id);
         }
         drop(instances);
-        self.after(change);
-        self.lists_changed();
+        self.publish_primary_change(change);
+        self.notify_lists_changed();
     }
 
     fn log_instance(&self, instance: &Instance) {
@@ -240,35 +243,35 @@
             .log();
     }
 
-    /// The instance with a name is no longer listed.
+    /// Records that the instance with this name is no longer listed.
     pub fn unlist_instance(&self, name: &str, now: Instant) {
         lock(&self.instances).directory.vanish_by_name(name, now);
         Event::info("instance_unlisted")
             .field("instance", name)
             .log();
-        self.announce_change();
+        self.notify_changed();
     }
 
-    /// A life of an instance is no longer known to whoever lists them.
+    /// Records that an incarnation of an instance is no longer listed.
     pub fn unlist_incarnation(&self, id: &InstanceId, now: Instant) {
         lock(&self.instances).directory.vanish(id, now);
-        self.announce_change();
+        self.notify_changed();
     }
 
-    /// The directory could not be read.
+    /// Records that the directory could not be read.
     pub fn directory_read_failed(&self) {
         lock(&self.instances).directory.disturbed();
     }
 
-    /// The directory was read, by this node or the reader it follows.
+    /// Records that the directory was read, by this node or the reader it follows.
     pub fn directory_read_succeeded(&self) {
         let now = Instant::now();
         lock(&self.instances).directory.read(now);
         *lock(&self.directory_read_at) = Some(now);
     }
 
-    /// What is known of the list of instances was true at a moment. As long as entries may
-    /// be missing that lapsed with the store, or that a copy lacks, that tells nothing.
+    /// Confirms that the known list of instances was complete at a moment. Ignored while
+    /// entries may be missing because they lapsed with the store or a copy of it lacks them.
     pub fn confirm_directory_as_of(&self, moment: Instant) {
         let mut known = lock(&self.instances);
         if known.directory.is_whole_as_of(moment) {
@@ -276,18 +279,19 @@
         }
     }
 
-    /// The last moment as of which the list of instances is known; `None` if never.
+    /// The latest moment as of which the list of instances was complete; `None` if never.
     pub fn directory_as_of(&self) -> Option<Instant> {
         lock(&self.instances).directory_as_of
     }
 
-    /// How long ago the directory was read last; without end if never.
+    /// Time since the directory was last read; [`Duration::MAX`] if it never was.
     pub fn directory_age(&self) -> Duration {
         let read_at = *lock(&self.directory_read_at);
         read_at.map_or(Duration::MAX, |at| at.elapsed())
     }
 
-    /// Forgets instances that are gone for good; returns them.
+    /// Removes instances that have been absent for longer than they may drain; returns their
+    /// identifiers.
     pub fn expire_instances(&self, now: Instant, drain: Duration) -> Vec<InstanceId> {
         let mut instances = lock(&self.instances);
         let gone = instances.directory.expire(now, drain);
@@ -298,15 +302,15 @@
                 .log();
         }
         let absent = instances.directory.count_absent(now);
-        let is_news = std::mem::replace(&mut instances.absent, absent) != absent;
+        let has_changed = std::mem::replace(&mut instances.absent, absent) != absent;
         drop(instances);
-        if is_news {
-            self.lists_changed();
+        if has_changed {
+            self.notify_lists_changed();
         }
         gone
     }
 
-    /// An instance.
+    /// The instance with this identifier, if it is known.
     pub fn instance(&self, id: &InstanceId) -> Option<Arc<Instance>> {
         lock(&self.instances).directory.instance(id).cloned()
     }
@@ -320,7 +324,8 @@
             .collect()
     }
 
-    /// Services of the configuration that have instances. An entry may name another.
+    /// Services that are configured and have instances. Entries that name other services
+    /// are ignored.
     pub fn services(&self) -> Vec<ServiceName> {
         let Some(configuration) = self.configuration() else {
             return Vec::new();
@@ -330,7 +335,7 @@
         services
     }
 
-    /// Services of the configuration whose primary leaves, or is not known.
+    /// Configured services whose primary is leaving or not known.
     pub fn services_without_lasting_primary(&self, now: Instant) -> Vec<ServiceName> {
         let Some(configuration) = self.configuration() else {
             return Vec::new();
@@ -347,25 +352,26 @@
         lock(&self.instances).directory.is_leaving(id, now)
     }
 
-    /// Whether what the directory does not list is not there.
+    /// Whether an instance that the directory does not list can be taken as absent.
     pub fn is_directory_settled(&self, now: Instant) -> bool {
         lock(&self.instances).directory.is_settled(now)
     }
 
-    /// How long an instance has been leaving, if it is.
+    /// How long an instance has been leaving; `None` if it is not.
     pub fn leaving_for(&self, id: &InstanceId, now: Instant) -> Option<Duration> {
         lock(&self.instances).directory.leaving_for(id, now)
     }
 
-    fn after(&self, change: Option<PrimaryChange>) {
+    /// Logs a change of a primary and notifies subscribers.
+    fn publish_primary_change(&self, change: Option<PrimaryChange>) {
         if let Some(change) = change {
             log_primary(&change);
-            self.announce_change();
+            self.notify_changed();
         }
     }
 
-    /// The best instance for a read that requires a position, nearest and least
-    /// loaded first, and whether no other is left.
+    /// The best instance for a read that requires a position (nearest and least loaded
+    /// first), and whether it is the last candidate.
     pub fn choose_for_read(
         &self,
         service: &str,
@@ -385,7 +391,7 @@
         let candidates = instances
             .directory
             .instances(service)
-            .filter(|instance| !self.has_left(&instances.directory, &instance.id, now))
+            .filter(|instance| !self.is_closed_to_new_work(&instances.directory, &instance.id, now))
             .filter(|instance| may_run(instance))
             .map(|instance| Candidate {
                 is_primary: primary.as_ref().is_some_and(|it| it.id == instance.id),
@@ -399,25 +405,25 @@
         Some((instance.clone(), choice.is_last))
     }
 
-    /// Whether an instance has been leaving for so long that it gets no new
-    /// work. The margin is for what this node learnt late.
-    fn has_left(&self, directory: &Directory, id: &InstanceId, now: Instant) -> bool {
+    /// Whether an instance has been leaving for so long that it gets no new work. The rest
+    /// of the drain time is a margin for what this node learnt late.
+    fn is_closed_to_new_work(&self, directory: &Directory, id: &InstanceId, now: Instant) -> bool {
         directory
             .leaving_for(id, now)
-            .is_some_and(|leaving| leaving > self.drain * WORK_PERCENT / 100)
+            .is_some_and(|leaving| leaving > self.drain * NEW_WORK_PERCENT / 100)
     }
 
     fn distance(&self, instance: &Instance) -> Distance {
         self.places.distance(&instance.zone)
     }
 
-    /// Updates what traffic tells of an instance.
+    /// Updates the health of an instance.
     pub fn update_health(&self, id: &InstanceId, update: impl FnOnce(&mut InstanceHealth)) {
         let mut instances = lock(&self.instances);
         update(instances.health.entry(id.clone()).or_default());
     }
 
-    /// Reads what traffic tells of an instance.
+    /// Reads the health of an instance; `None` if none is recorded.
     pub fn read_health<T>(
         &self,
         id: &InstanceId,
@@ -446,16 +452,16 @@
                 .field("position", sample.position)
                 .log();
         }
-        self.announce_change();
+        self.notify_changed();
     }
 
-    /// The store does not keep whether a claimed successor was promoted: the next proof of who
-    /// leads is to be kept.
+    /// Records that the store does not hold whether a claimed successor was promoted: the
+    /// term of the next evidence is to be stored.
     pub fn mark_promotion_unconfirmed(&self, service: &ServiceName) {
         lock(&self.unconfirmed_promotions).insert(service.clone());
     }
 
-    /// A primary's log was proved to end in a term, as the store keeps.
+    /// Takes in a term that the store holds, in which a primary's log was proved to end.
     pub fn observe_proved_term(&self, service: &ServiceName, term: Term) {
         self.observe_term(service, term);
         let mut instances = lock(&self.instances);
@@ -463,7 +469,7 @@
         evidence.term_proved(term);
     }
 
-    /// Waits until there are terms that the store is to keep.
+    /// Waits until a term is added to those that the store is to keep.
     pub async fn wait_for_term_to_store(&self) {
         self.term_to_store_added.notified().await;
     }
@@ -478,14 +484,14 @@
         lock(&self.instances).evidence.get(service)?.fence(moment)
     }
 
-    /// The highest position that was proved.
+    /// The highest position that a service's log is proved to hold.
     pub fn newest_position(&self, service: &str) -> Option<Position> {
         let instances = lock(&self.instances);
         let newest = instances.evidence.get(service)?.newest()?;
         Some(newest.position)
     }
 
-    /// When the latest evidence was sent.
+    /// When the request was sent that yielded the latest evidence.
     pub fn latest_evidence(&self, service: &str) -> Option<Instant> {
         lock(&self.instances)
             .evidence
@@ -493,17 +499,17 @@
             .latest_sent_at()
     }
 
-    /// The latest observation of a service's primary.
+    /// The latest evidence of a service's log.
     pub fn latest_sample(&self, service: &str) -> Option<Sample> {
         lock(&self.instances).evidence.get(service)?.latest()
     }
 
-    fn lists_changed(&self) {
+    fn notify_lists_changed(&self) {
         self.list_changes.send_modify(|count| *count += 1);
-        self.announce_change();
+        self.notify_changed();
     }
 
-    fn announce_change(&self) {
+    fn notify_changed(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 }
@@ -519,7 +525,7 @@
         .log();
 }
 
-/// Locks; a panic elsewhere does not make the data unusable.
+/// Locks a mutex, also one that a panic has poisoned: the data remains usable.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -1,5 +1,5 @@
-//! Where statements may be sent, and where primaries should stand, as far as this
-//! node knows: regions of the configuration, evacuations, cold instances.
+//! Which instances may run a statement and where primaries should stand, by the
+//! configured regions, evacuations and cold instances that this node knows of.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -17,13 +17,14 @@
 use super::{ClusterState, KnownInstances, lock};
 
 impl ClusterState {
-    /// Takes in the regions that a configuration binds to.
+    /// Takes in the regions that a configuration binds primaries to.
     pub(super) fn adopt_regions(&self, configuration: &Configuration) {
         self.log_unknown_regions(configuration);
         *lock(&self.primary_regions) = Arc::new(bound_primaries(configuration));
     }
 
-    /// Logs what routes and tenants are bound to and no zone of the settings lies in.
+    /// Logs each region that a route or tenant is bound to and in which no configured zone
+    /// lies.
     fn log_unknown_regions(&self, configuration: &Configuration) {
         let known: HashSet<&RegionName> = self.places.regions.values().collect();
         let routes = configuration.routes.iter();
@@ -41,16 +42,16 @@
         }
     }
 
-    /// Takes in all zones that are evacuated as of a place in the store's changes.
+    /// Replaces the set of evacuated zones by the one read at a revision of the store.
     pub fn replace_evacuations(&self, zones: Vec<ZoneName>, as_of: StorePlace, now: Instant) {
         let bound = self.evacuation_bound;
         let changes = lock(&self.instances)
             .evacuations
             .replace(as_of, zones, bound, now);
-        self.after_evacuations(&changes, as_of);
+        self.publish_evacuation_changes(&changes, as_of);
     }
 
-    /// Takes in what has changed among them up to a place in the store's changes.
+    /// Applies changes of the evacuated zones up to a revision of the store.
     pub fn change_evacuations(
         &self,
         changes: Vec<EvacuationChange>,
@@ -61,26 +62,26 @@
         let changes = lock(&self.instances)
             .evacuations
             .apply(as_of, changes, bound, now);
-        self.after_evacuations(&changes, as_of);
+        self.publish_evacuation_changes(&changes, as_of);
     }
 
-    /// Ends evacuations that the store has lost and nobody has asked for again.
+    /// Ends evacuations that the store has lost and that were not requested again.
     pub fn expire_evacuations(&self, now: Instant) {
         let mut instances = lock(&self.instances);
         let changes = instances.evacuations.expire_lost(now);
         let as_of = instances.evacuations.as_of();
         drop(instances);
-        self.after_evacuations(&changes, as_of);
+        self.publish_evacuation_changes(&changes, as_of);
     }
 
-    fn after_evacuations(&self, changes: &[EvacuationChange], as_of: StorePlace) {
+    fn publish_evacuation_changes(&self, changes: &[EvacuationChange], as_of: StorePlace) {
         if changes.is_empty() {
             return;
         }
         for change in changes {
             self.log_evacuation(change, as_of);
         }
-        self.lists_changed();
+        self.notify_lists_changed();
     }
 
     fn log_evacuation(&self, change: &EvacuationChange, as_of: StorePlace) {
@@ -98,11 +99,11 @@
 
     fn instances_in(&self, zone: &str) -> usize {
         let instances = lock(&self.instances).directory.all(Instant::now());
-        let stand_there = instances.iter().filter(|(it, _)| &*it.zone == zone);
-        stand_there.count()
+        let in_zone = instances.iter().filter(|(it, _)| &*it.zone == zone);
+        in_zone.count()
     }
 
-    /// Instances to which nothing is sent any more, since their zone is evacuated.
+    /// Instances to which nothing is sent any more because their zone is evacuated.
     pub fn closed_instances(&self) -> Vec<InstanceId> {
         let now = Instant::now();
         let instances = lock(&self.instances);
@@ -115,17 +116,17 @@
             .collect()
     }
 
-    /// Whether an instance's entry is there.
+    /// Whether an instance is listed.
     pub fn is_listed(&self, id: &InstanceId) -> bool {
         lock(&self.instances).directory.is_listed(id)
     }
 
-    /// Whether an instance says that it has just started.
+    /// Whether an instance announces that it is warming up after a start.
     pub fn is_cold(&self, id: &InstanceId) -> bool {
         lock(&self.instances).directory.is_cold(id, Instant::now())
     }
 
-    /// Whether nothing is sent to an instance any more, since its zone is evacuated.
+    /// Whether nothing is sent to an instance any more because its zone is evacuated.
     pub fn is_closed(&self, instance: &Instance) -> bool {
         let instances = lock(&self.instances);
         instances
@@ -133,13 +134,12 @@
             .is_closed(&instance.zone, Instant::now())
     }
 
-    /// What is known of evacuations was true at a moment.
+    /// Confirms that the known evacuations were current at a moment.
     pub fn confirm_evacuations_as_of(&self, moment: Instant) {
         lock(&self.instances).evacuations.vouched(moment);
     }
 
-    /// The zones that are evacuated, and the place in the store's changes up to
-    /// which they are known.
+    /// The evacuated zones, and the store revision up to which they are known.
     pub fn evacuations(&self) -> (Vec<ZoneName>, StorePlace) {
         let instances = lock(&self.instances);
         let zones = instances.evacuations.zones().map(|(zone, _)| zone.clone());
@@ -173,25 +173,26 @@
         eligibility::check(standing, engagement)
     }
 
-    /// Why no instance of a service may run a request of these regions at all, nor
-    /// will before something changes; `None` if one may, or none is known.
+    /// Why no instance of a service may run a request that is bound to these regions, until
+    /// the state changes; `None` if an instance may, or if none is known.
     pub fn ineligible_reason(&self, service: &str, regions: &AllowedRegions) -> Option<Ineligible> {
         let instances = lock(&self.instances);
         if !regions.is_bound() && instances.evacuations.is_empty() {
             return None;
         }
-        let mut barrier = None;
+        let mut found = None;
         for instance in instances.directory.instances(service) {
             match self.eligibility_in(&instances, instance, regions, Engagement::Free) {
                 Ok(()) => return None,
-                // One that is evacuated stands in the regions: that is what is told.
-                Err(Ineligible::Evacuated) => barrier = Some(Ineligible::Evacuated),
+                // An evacuated instance stands in the regions, so evacuation is the reason
+                // to report.
+                Err(Ineligible::Evacuated) => found = Some(Ineligible::Evacuated),
                 Err(Ineligible::OutsideRegions) => {
-                    barrier.get_or_insert(Ineligible::OutsideRegions);
+                    found.get_or_insert(Ineligible::OutsideRegions);
                 }
             }
         }
-        barrier
+        found
     }
 
     /// Where the primary of a service should stand.
@@ -207,8 +208,8 @@
             .is_ok()
     }
 
-    /// Whether the primary of a service stands where it should not, and another
-    /// instance, which stays, where it should.
+    /// Whether the primary of a service stands where it should not while an instance that is
+    /// not leaving stands where it should.
     pub fn is_primary_misplaced(&self, service: &str) -> bool {
         let Some(primary) = self.primary(service) else {
             return false;
@@ -216,7 +217,7 @@
         !self.is_well_placed(&primary) && self.has_place_for_primary(service)
     }
 
-    /// Whether an instance that stays stands where the primary should.
+    /// Whether an instance that is not leaving stands where the primary should.
     pub fn has_place_for_primary(&self, service: &str) -> bool {
         let now = Instant::now();
         let instances = self.instances(service);
@@ -226,7 +227,7 @@
     }
 }
 
-/// Where the primaries of services should stand that are bound to regions.
+/// The regions for the primary of each service that is bound to regions.
 fn bound_primaries(configuration: &Configuration) -> HashMap<ServiceName, AllowedRegions> {
     let services = configuration.services.keys();
     let regions = services.map(|service| {
--- a/crates/linkhold-gateway/src/cluster_state/primaries.rs
+++ b/crates/linkhold-gateway/src/cluster_state/primaries.rs
@@ -1,5 +1,5 @@
-//! Who is believed to lead a service, and whether this node may speak for it: tell what
-//! it answers as the primary's word.
+//! The known primary of each service, and whether this node may acknowledge for it: pass
+//! its answers on as those of the primary.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,13 +14,13 @@
 use super::{ClusterState, KnownInstances, lock};
 
 impl ClusterState {
-    /// The believed primary.
+    /// The known primary of a service.
     pub fn primary(&self, service: &str) -> Option<Arc<Instance>> {
         lock(&self.instances).directory.primary(service).cloned()
     }
 
-    /// The believed primary, unless it failed a moment ago, is being replaced, or may
-    /// be without this node's consent.
+    /// The known primary, unless it failed a moment ago, is being replaced, or may be
+    /// replaced without this node's consent.
     pub fn usable_primary(&self, service: &str, now: Instant) -> Option<Arc<Instance>> {
         let instances = lock(&self.instances);
         let primary = instances.directory.primary(service)?;
@@ -28,57 +28,57 @@
             .health
             .get(&primary.id)
             .is_some_and(|health| health.is_avoided(now));
-        let left = self.has_left(&instances.directory, &primary.id, now);
+        let has_left = self.is_closed_to_new_work(&instances.directory, &primary.id, now);
         let may_use = self.may_use_primary(&instances, primary, now);
-        (!avoided && !left && may_use).then(|| primary.clone())
+        (!avoided && !has_left && may_use).then(|| primary.clone())
     }
 
-    /// Whether an instance is known as a replica: it announces so, and is not believed
-    /// to lead.
+    /// Whether an instance is known as a replica: it announces that role and is not the known
+    /// primary.
     pub fn is_replica(&self, instance: &Instance) -> bool {
         let known = lock(&self.instances);
-        let leads = known
+        let is_primary = known
             .directory
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         let announced = known.directory.instance(&instance.id);
-        !leads && announced.is_some_and(|announced| announced.role == Role::Replica)
+        !is_primary && announced.is_some_and(|announced| announced.role == Role::Replica)
     }
 
-    /// Whether another instance is believed to lead an instance's service.
+    /// Whether another instance is the known primary of an instance's service.
     pub fn is_replaced(&self, instance: &Instance) -> bool {
         let primary = self.primary(&instance.service);
         primary.is_some_and(|primary| primary.id != instance.id)
     }
 
-    /// Whether this node may speak at a moment for an instance as a primary: it has not
-    /// agreed that it is replaced, and nobody replaces it without its consent.
+    /// Whether this node may acknowledge for an instance as a primary at a moment: the node
+    /// has not agreed to its replacement, and it cannot be replaced without the node's consent.
     pub fn may_acknowledge_for(&self, instance: &Instance, moment: Instant) -> bool {
         self.may_use_primary(&lock(&self.instances), instance, moment)
     }
 
-    /// Instances that announce being primary of a service, of which at most one is.
+    /// Instances that announce that they are primary of a service; at most one of them is.
     pub fn claimants(&self, service: &str) -> Vec<InstanceId> {
         let known = lock(&self.instances);
         let claimants = known.directory.claimants(service);
         claimants.map(|instance| instance.id.clone()).collect()
     }
 
-    /// An instance of a service follows a term, or answered in it as a primary.
+    /// Records that an instance of a service follows a term, or answered in it as a primary.
     pub fn observe_term(&self, service: &ServiceName, term: Term) {
         let mut known = lock(&self.instances);
         let newest = known.terms.entry(service.clone()).or_insert(term);
         *newest = term.max(*newest);
     }
 
-    /// The newest term in which a primary's log was proved to end. One that was just
+    /// The newest term in which a primary's log was proved to end. A primary that was just
     /// promoted may not have written in its own term yet.
     pub fn newest_proved_term(&self, service: &str) -> Option<Term> {
         lock(&self.instances).evidence.get(service)?.newest_term()
     }
 
-    /// The newest term of a service of which this node knows. An instance that leads an
-    /// older one has been replaced.
+    /// The newest term of a service that this node knows. The primary of an older term has
+    /// been replaced.
     pub fn newest_term(&self, service: &str) -> Option<Term> {
         lock(&self.instances).terms.get(service).copied()
     }
@@ -90,8 +90,8 @@
         !is_withheld && self.permission.covers(primary, now, known.directory_as_of)
     }
 
-    /// This node agrees to acknowledge nothing of an instance for a while, since
-    /// it may be replaced.
+    /// Withholds acknowledgements for an instance for a while, since this node agreed that it
+    /// may be replaced.
     pub fn withhold(&self, id: &InstanceId, question: u64) {
         let now = Instant::now();
         lock(&self.instances).withholdings.agree(id, question, now);
@@ -99,18 +99,18 @@
             .field("instance", id)
             .field("at_least_ms", WITHHOLDING.as_millis())
             .log();
-        self.announce_change();
+        self.notify_changed();
     }
 
-    /// Whoever asked this node to agree orders nothing.
+    /// Ends what was agreed to for a question: the node that asked orders nothing.
     pub fn release(&self, question: u64) {
         self.permission.release(question);
         if lock(&self.instances).withholdings.release(question) {
-            self.announce_change();
+            self.notify_changed();
         }
     }
 
-    /// Whether nothing of some instance may be acknowledged.
+    /// Whether acknowledgements are withheld for any instance.
     pub fn withholds_any(&self) -> bool {
         let known = lock(&self.instances);
         known
@@ -118,7 +118,7 @@
             .holds_any(Instant::now(), known.directory_as_of)
     }
 
-    /// Whether nothing of an instance may be acknowledged.
+    /// Whether acknowledgements are withheld for an instance.
     pub fn is_withheld(&self, id: &InstanceId) -> bool {
         let known = lock(&self.instances);
         known
@@ -126,31 +126,31 @@
             .holds(id, Instant::now(), known.directory_as_of)
     }
 
-    /// Whether an instance is not believed to lead whatever it announces.
+    /// Whether an instance's announcement that it is primary is to be ignored.
     pub fn is_denied(&self, id: &InstanceId) -> bool {
         lock(&self.instances).directory.is_denied(id)
     }
 
-    /// Whether an instance is believed to lead for its announcement alone.
+    /// Whether an instance is considered primary only because it announces that role.
     pub fn needs_verification(&self, id: &InstanceId) -> bool {
         lock(&self.instances).directory.needs_lead_proof(id)
     }
 
-    /// Nothing that the other instances know speaks against an instance that is believed to
-    /// lead.
+    /// Marks the known primary as verified: nothing that the other instances know contradicts
+    /// its role.
     pub fn mark_verified(&self, id: &InstanceId) {
         lock(&self.instances).directory.prove_lead(id);
     }
 
-    /// An instance denied being primary.
+    /// Records that an instance denied being primary.
     pub fn deny_primary(&self, id: &InstanceId) {
         let change = lock(&self.instances).directory.deny_primary(id);
-        self.after(change);
+        self.publish_primary_change(change);
     }
 
-    /// An instance proved to be primary, or was promoted.
+    /// Records that an instance proved to be primary, or was promoted.
     pub fn confirm_primary(&self, id: &InstanceId, source: PrimarySource) {
         let change = lock(&self.instances).directory.confirm_primary(id, source);
-        self.after(change);
+        self.publish_primary_change(change);
     }
 }
