--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -34,9 +34,9 @@
 /// percent.
 const NEW_WORK_PERCENT: u32 = 60;
 
-/// Time after its first start in which a fleet cannot have replaced a primary: instances and
-/// nodes start together, and a replacement needs the list of nodes, which takes seconds to
-/// become complete.
+/// Time after its first start in which a fleet cannot have replaced a primary:
+/// instances and nodes start together, and a replacement needs the list of nodes, which
+/// takes seconds to become complete.
 const FIRST_START_TIME: Duration = Duration::from_secs(15);
 
 /// Instances, their health, and evidence of their logs.
@@ -70,12 +70,13 @@
     directory_read_at: Mutex<Option<Instant>>,
     instances: Mutex<KnownInstances>,
     directory_revision: Mutex<StorePlace>,
-    /// Terms that the store is to keep: for each service, the newest one in which its log was
-    /// proved to end after an older term.
+    /// Terms that the store is to keep: for each service, the newest one in which its
+    /// log was proved to end after an older term.
     terms_to_store: Mutex<BTreeMap<ServiceName, Term>>,
     /// Notified when a term is added to `terms_to_store`.
     term_to_store_added: Notify,
-    /// Services for which the store does not record whether a claimed successor was promoted.
+    /// Services for which the store does not record whether a claimed successor was
+    /// promoted.
     unconfirmed_promotions: Mutex<HashSet<ServiceName>>,
     changes: watch::Sender<u64>,
     /// Counts the changes of the configuration and of the list of instances only.
@@ -190,15 +191,15 @@
         self.notify_lists_changed();
     }
 
-    /// Whether the whole fleet has just been started for the first time: no instance that
-    /// announces that it is primary can have been replaced before.
+    /// Whether the whole fleet has just been started for the first time: no instance
+    /// that announces that it is primary can have been replaced before.
     fn is_first_fleet_start(&self, now: Instant) -> bool {
         let started_at = self.first_started_at;
         started_at.is_some_and(|at| now < at + FIRST_START_TIME)
     }
 
-    /// Advances the store revision up to which instances are known; returns `false` if a
-    /// newer one was known.
+    /// Advances the store revision up to which instances are known; returns `false` if
+    /// a newer one was known.
     pub fn advance_directory(&self, revision: StorePlace) -> bool {
         let mut known = lock(&self.directory_revision);
         let is_current = revision >= *known;
@@ -270,8 +271,9 @@
         *lock(&self.directory_read_at) = Some(now);
     }
 
-    /// Confirms that the known list of instances was complete at a moment. Ignored while
-    /// entries may be missing because they lapsed with the store or a copy of it lacks them.
+    /// Confirms that the known list of instances was complete at a moment. Ignored
+    /// while entries may be missing because they lapsed with the store or a copy of it
+    /// lacks them.
     pub fn confirm_directory_as_of(&self, moment: Instant) {
         let mut known = lock(&self.instances);
         if known.directory.is_whole_as_of(moment) {
@@ -279,7 +281,8 @@
         }
     }
 
-    /// The latest moment as of which the list of instances was complete; `None` if never.
+    /// The latest moment as of which the list of instances was complete; `None` if
+    /// never.
     pub fn directory_as_of(&self) -> Option<Instant> {
         lock(&self.instances).directory_as_of
     }
@@ -290,8 +293,8 @@
         read_at.map_or(Duration::MAX, |at| at.elapsed())
     }
 
-    /// Removes instances that have been absent for longer than they may drain; returns their
-    /// identifiers.
+    /// Removes instances that have been absent for longer than they may drain; returns
+    /// their identifiers.
     pub fn expire_instances(&self, now: Instant, drain: Duration) -> Vec<InstanceId> {
         let mut instances = lock(&self.instances);
         let gone = instances.directory.expire(now, drain);
@@ -324,8 +327,8 @@
             .collect()
     }
 
-    /// Services that are configured and have instances. Entries that name other services
-    /// are ignored.
+    /// Services that are configured and have instances. Entries that name other
+    /// services are ignored.
     pub fn services(&self) -> Vec<ServiceName> {
         let Some(configuration) = self.configuration() else {
             return Vec::new();
@@ -405,8 +408,8 @@
         Some((instance.clone(), choice.is_last))
     }
 
-    /// Whether an instance has been leaving for so long that it gets no new work. The rest
-    /// of the drain time is a margin for what this node learnt late.
+    /// Whether an instance has been leaving for so long that it gets no new work. The
+    /// rest of the drain time is a margin for what this node learnt late.
     fn is_closed_to_new_work(&self, directory: &Directory, id: &InstanceId, now: Instant) -> bool {
         directory
             .leaving_for(id, now)
@@ -455,13 +458,14 @@
         self.notify_changed();
     }
 
-    /// Records that the store does not hold whether a claimed successor was promoted: the
-    /// term of the next evidence is to be stored.
+    /// Records that the store does not hold whether a claimed successor was promoted:
+    /// the term of the next evidence is to be stored.
     pub fn mark_promotion_unconfirmed(&self, service: &ServiceName) {
         lock(&self.unconfirmed_promotions).insert(service.clone());
     }
 
-    /// Takes in a term that the store holds, in which a primary's log was proved to end.
+    /// Takes in a term that the store holds, in which a primary's log was proved to
+    /// end.
     pub fn observe_proved_term(&self, service: &ServiceName, term: Term) {
         self.observe_term(service, term);
         let mut instances = lock(&self.instances);
--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -23,8 +23,8 @@
         *lock(&self.primary_regions) = Arc::new(bound_primaries(configuration));
     }
 
-    /// Logs each region that a route or tenant is bound to and in which no configured zone
-    /// lies.
+    /// Logs each region that a route or tenant is bound to and in which no configured
+    /// zone lies.
     fn log_unknown_regions(&self, configuration: &Configuration) {
         let known: HashSet<&RegionName> = self.places.regions.values().collect();
         let routes = configuration.routes.iter();
@@ -173,8 +173,8 @@
         eligibility::check(standing, engagement)
     }
 
-    /// Why no instance of a service may run a request that is bound to these regions, until
-    /// the state changes; `None` if an instance may, or if none is known.
+    /// Why no instance of a service may run a request that is bound to these regions,
+    /// until the state changes; `None` if an instance may, or if none is known.
     pub fn ineligible_reason(&self, service: &str, regions: &AllowedRegions) -> Option<Ineligible> {
         let instances = lock(&self.instances);
         if !regions.is_bound() && instances.evacuations.is_empty() {
@@ -184,8 +184,8 @@
         for instance in instances.directory.instances(service) {
             match self.eligibility_in(&instances, instance, regions, Engagement::Free) {
                 Ok(()) => return None,
-                // An evacuated instance stands in the regions, so evacuation is the reason
-                // to report.
+                // An evacuated instance stands in the regions, so evacuation is the
+                // reason to report.
                 Err(Ineligible::Evacuated) => found = Some(Ineligible::Evacuated),
                 Err(Ineligible::OutsideRegions) => {
                     found.get_or_insert(Ineligible::OutsideRegions);
@@ -208,8 +208,8 @@
             .is_ok()
     }
 
-    /// Whether the primary of a service stands where it should not while an instance that is
-    /// not leaving stands where it should.
+    /// Whether the primary of a service stands where it should not while an instance
+    /// that is not leaving stands where it should.
     pub fn is_primary_misplaced(&self, service: &str) -> bool {
         let Some(primary) = self.primary(service) else {
             return false;
--- a/crates/linkhold-gateway/src/cluster_state/primaries.rs
+++ b/crates/linkhold-gateway/src/cluster_state/primaries.rs
@@ -1,5 +1,5 @@
-//! The known primary of each service, and whether this node may acknowledge for it: pass
-//! its answers on as those of the primary.
+//! The known primary of each service, and whether this node may acknowledge for it:
+//! pass its answers on as those of the primary.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -33,8 +33,8 @@
         (!avoided && !has_left && may_use).then(|| primary.clone())
     }
 
-    /// Whether an instance is known as a replica: it announces that role and is not the known
-    /// primary.
+    /// Whether an instance is known as a replica: it announces that role and is not the
+    /// known primary.
     pub fn is_replica(&self, instance: &Instance) -> bool {
         let known = lock(&self.instances);
         let is_primary = known
@@ -51,34 +51,37 @@
         primary.is_some_and(|primary| primary.id != instance.id)
     }
 
-    /// Whether this node may acknowledge for an instance as a primary at a moment: the node
-    /// has not agreed to its replacement, and it cannot be replaced without the node's consent.
+    /// Whether this node may acknowledge for an instance as a primary at a moment: the
+    /// node has not agreed to its replacement, and it cannot be replaced without the
+    /// node's consent.
     pub fn may_acknowledge_for(&self, instance: &Instance, moment: Instant) -> bool {
         self.may_use_primary(&lock(&self.instances), instance, moment)
     }
 
-    /// Instances that announce that they are primary of a service; at most one of them is.
+    /// Instances that announce that they are primary of a service; at most one of them
+    /// is.
     pub fn claimants(&self, service: &str) -> Vec<InstanceId> {
         let known = lock(&self.instances);
         let claimants = known.directory.claimants(service);
         claimants.map(|instance| instance.id.clone()).collect()
     }
 
-    /// Records that an instance of a service follows a term, or answered in it as a primary.
+    /// Records that an instance of a service follows a term, or answered in it as a
+    /// primary.
     pub fn observe_term(&self, service: &ServiceName, term: Term) {
         let mut known = lock(&self.instances);
         let newest = known.terms.entry(service.clone()).or_insert(term);
         *newest = term.max(*newest);
     }
 
-    /// The newest term in which a primary's log was proved to end. A primary that was just
-    /// promoted may not have written in its own term yet.
+    /// The newest term in which a primary's log was proved to end. A primary that was
+    /// just promoted may not have written in its own term yet.
     pub fn newest_proved_term(&self, service: &str) -> Option<Term> {
         lock(&self.instances).evidence.get(service)?.newest_term()
     }
 
-    /// The newest term of a service that this node knows. The primary of an older term has
-    /// been replaced.
+    /// The newest term of a service that this node knows. The primary of an older term
+    /// has been replaced.
     pub fn newest_term(&self, service: &str) -> Option<Term> {
         lock(&self.instances).terms.get(service).copied()
     }
@@ -90,8 +93,8 @@
         !is_withheld && self.permission.covers(primary, now, known.directory_as_of)
     }
 
-    /// Withholds acknowledgements for an instance for a while, since this node agreed that it
-    /// may be replaced.
+    /// Withholds acknowledgements for an instance for a while, since this node agreed
+    /// that it may be replaced.
     pub fn withhold(&self, id: &InstanceId, question: u64) {
         let now = Instant::now();
         lock(&self.instances).withholdings.agree(id, question, now);
@@ -136,8 +139,8 @@
         lock(&self.instances).directory.needs_lead_proof(id)
     }
 
-    /// Marks the known primary as verified: nothing that the other instances know contradicts
-    /// its role.
+    /// Marks the known primary as verified: nothing that the other instances know
+    /// contradicts its role.
     pub fn mark_verified(&self, id: &InstanceId) {
         lock(&self.instances).directory.prove_lead(id);
     }
