--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -1,5 +1,5 @@
-//! Finds out what is wrong with a primary, from this node's own try and from
-//! what other nodes find.
+//! Diagnoses a primary from this node's own probe and the findings of other nodes, and
+//! obtains their agreement to replace it.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,15 +12,14 @@
 use linkhold_peer::{QuestionPurpose, QuestionSubject, Reachability};
 
 use super::FailoverReason;
-use super::promotion::Situation;
+use super::promotion::ServiceSurvey;
 use crate::evidence::survey;
 use crate::gateway::Gateway;
 use crate::peers::{self, Audience};
 use crate::ports::Platform;
 use crate::state::RelayPeer;
 
-/// What is wrong with the primary; `None` if nothing is, or if it cannot be
-/// told yet.
+/// Why the primary is to be replaced; `None` if it is not, or if that is not known yet.
 pub(super) async fn diagnose<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -41,13 +40,14 @@
         .read_health(&primary.id, |health| health.is_failing())
         .unwrap_or(false);
     if !is_failing && !gateway.watches(service) {
-        // Others are better placed to find out, and this node's own traffic passes.
-        return judge_by_watchers(&primary, peers.await.tally);
+        // The watchers are better placed to find out, and this node's own traffic
+        // passes.
+        return reason_by_watchers(&primary, peers.await.tally);
     }
     tokio::pin!(peers);
     let own = survey::probe_primary(gateway, &primary);
     tokio::pin!(own);
-    // Both run at once; the own finding decides alone unless it is a failure.
+    // Both run at once. The own probe decides alone unless it fails.
     let (own, early) = tokio::select! {
         own = &mut own => (own, None),
         tally = &mut peers => (own.await, Some(tally)),
@@ -67,7 +67,7 @@
             Some(FailoverReason::Unknown)
         }
         Reachability::Unreached => {
-            // Through a peer it may be served all the while.
+            // A relayed primary may be served through a peer meanwhile.
             if !gateway.relays.is_relayed(&primary.id) {
                 gateway.instance_failed(&primary, "unreachable");
             }
@@ -75,15 +75,14 @@
                 Some(findings) => findings,
                 None => peers.await,
             };
-            use_peers(gateway, &primary, findings.reached_by);
-            judge_unreached(&primary, findings.tally)
+            relay_through(gateway, &primary, findings.reached_by);
+            reason_if_unreached(&primary, findings.tally)
         }
     }
 }
 
-/// Has connections to a primary that this node does not reach relayed by peers
-/// that do.
-fn use_peers<P: Platform>(gateway: &Gateway<P>, primary: &Instance, peers: Vec<SocketAddr>) {
+/// Relays connections to a primary that this node does not reach through peers that do.
+fn relay_through<P: Platform>(gateway: &Gateway<P>, primary: &Instance, peers: Vec<SocketAddr>) {
     if peers.is_empty() {
         if gateway.relays.forget(&primary.id) {
             gateway.instance_failed(primary, "unreachable");
@@ -100,8 +99,8 @@
     let places = &gateway.settings.places;
     let relay_peer = |address: SocketAddr| RelayPeer {
         address,
-        // One that has joined unseen may stand anywhere: no bound permits the empty
-        // name.
+        // The region of a peer that this node does not list yet is not known: no bound
+        // permits the empty name.
         region: gateway.fleet.region_of(address, places).unwrap_or_default(),
     };
     let relay_peers = peers.into_iter().map(relay_peer).collect();
@@ -112,8 +111,8 @@
     gateway.instance_answered(&primary.id, Duration::ZERO, None);
 }
 
-/// Judges a primary by what its watchers found.
-fn judge_by_watchers(primary: &Instance, tally: ReachabilityTally) -> Option<FailoverReason> {
+/// Why a primary is to be replaced, by the findings of its watchers alone.
+fn reason_by_watchers(primary: &Instance, tally: ReachabilityTally) -> Option<FailoverReason> {
     log_tally(&primary.service, &primary.id.0, tally);
     if tally.reached > 0 {
         return None;
@@ -124,28 +123,33 @@
     Some(FailoverReason::Lost)
 }
 
-/// Asks some watchers of a service who leads it; whether that is known now.
-pub(super) async fn learn_leader<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> bool {
-    /// Watchers that are asked: one may be lost, or not know it yet.
+/// Asks some watchers of a service for its primary; returns whether they named another
+/// one.
+pub(super) async fn learn_primary<P: Platform>(
+    gateway: &Gateway<P>,
+    service: &ServiceName,
+) -> bool {
+    /// Watchers to ask: the answer of one may be lost, or it may not know the primary
+    /// yet.
     const ASKED: usize = 2;
     let audience = Audience::for_look(gateway, service).sample(ASKED);
     let subject = QuestionSubject::PrimaryOf(service.to_string());
     let purpose = QuestionPurpose::Look;
     let findings = peers::ask(gateway, rand::random(), subject, purpose, &audience).await;
-    let present = gateway.cluster.primary(service);
-    let is_news = |id: &&InstanceId| present.as_ref().is_none_or(|primary| primary.id != **id);
-    let Some(leader) = findings.leaders.iter().find(is_news) else {
+    let known = gateway.cluster.primary(service);
+    let is_other = |id: &&InstanceId| known.as_ref().is_none_or(|primary| primary.id != **id);
+    let Some(primary) = findings.leaders.iter().find(is_other) else {
         return false;
     };
     gateway
         .cluster
-        .confirm_primary(leader, PrimarySource::Asked);
+        .confirm_primary(primary, PrimarySource::Asked);
     true
 }
 
-/// Judges a primary that this node does not reach by what others found. Where
-/// only some were asked, [`confirm_lost`] asks the rest.
-fn judge_unreached(primary: &Instance, mut tally: ReachabilityTally) -> Option<FailoverReason> {
+/// Why a primary that this node does not reach is to be replaced, by the findings of
+/// other nodes. Where only some were asked, [`confirm_lost`] asks the rest.
+fn reason_if_unreached(primary: &Instance, mut tally: ReachabilityTally) -> Option<FailoverReason> {
     tally.unreached += 1;
     log_tally(&primary.service, &primary.id.0, tally);
     if tally.reached > 0 {
@@ -170,28 +174,28 @@
 
 /// A question that all nodes agreed to.
 #[derive(Clone, Debug)]
-struct Agreed {
+struct AgreedQuestion {
     number: u64,
     audience: Audience,
 }
 
-/// All nodes agree that a primary may be replaced.
+/// Agreement of all nodes that a primary may be replaced.
 #[derive(Clone, Debug)]
 pub(super) struct Agreement {
-    questions: Vec<Agreed>,
-    /// When the first of them was asked; what they agreed to counts from later.
+    questions: Vec<AgreedQuestion>,
+    /// When the first question was sent; the nodes' withholding counts from later.
     pub asked_at: Instant,
-    /// When the last of them had answered.
+    /// When the last question was answered.
     pub answered_at: Instant,
-    /// Nodes that are no longer listed and gave no answer. Until
-    /// [`CONFIRMATION_LIFE`](linkhold_core::service::permission::CONFIRMATION_LIFE) later they
-    /// may go on, by what the others confirmed before they agreed.
+    /// Nodes that are no longer listed and did not answer. They may keep acknowledging
+    /// for [`CONFIRMATION_LIFE`](linkhold_core::service::permission::CONFIRMATION_LIFE)
+    /// after `answered_at`, by what the others confirmed before they agreed.
     pub silent_former: usize,
 }
 
 impl Agreement {
-    /// What holds if both do.
-    fn and(mut self, other: Self) -> Self {
+    /// Combines two agreements into one that holds if both do.
+    fn combine(mut self, other: Self) -> Self {
         self.questions.extend(other.questions);
         Self {
             questions: self.questions,
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Nothing is ordered: whoever agreed may go on.
+    /// Releases the nodes that agreed: nothing is ordered.
     pub async fn release<P: Platform>(self, gateway: &Gateway<P>) {
         for question in self.questions {
             peers::release(gateway, question.number, &question.audience).await;
@@ -209,9 +213,10 @@
     }
 }
 
-/// Asks every node to agree that an instance may be replaced: none reaches it as
-/// a primary, and none acknowledges anything of it while that is done. `None` if one
-/// does not agree; whoever reaches it then serves this node's connections.
+/// Asks every node to agree that an instance may be replaced: none reaches it as a
+/// primary, and none acknowledges for it during the replacement. Returns `None` if a
+/// node does not agree; connections are then relayed through the nodes that reach the
+/// instance.
 async fn confirm_lost<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> Option<Agreement> {
     let subject = QuestionSubject::Instance(instance.id.to_string());
     match ask_to_agree(gateway, &instance.service, subject).await {
@@ -223,14 +228,15 @@
         }
         Err(reached_by) => {
             if !reached_by.is_empty() {
-                use_peers(gateway, instance, reached_by);
+                relay_through(gateway, instance, reached_by);
             }
             None
         }
     }
 }
 
-/// Has every node agree to a replacement, or tells who reaches what is to be replaced.
+/// Asks every node to agree to a replacement. The error holds the nodes that reach the
+/// subject; it is empty if a node is silent or the list of nodes is not available.
 async fn ask_to_agree<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -267,15 +273,16 @@
         return Err(findings.reached_by);
     }
     Ok(Agreement {
-        questions: vec![Agreed { number, audience }],
+        questions: vec![AgreedQuestion { number, audience }],
         asked_at,
         answered_at: Instant::now(),
         silent_former: findings.silent_former,
     })
 }
 
-/// In a large fleet, has the watchers look before everyone is asked: one that reaches what
-/// is to be replaced saves a question to each node and a reading of them all.
+/// In a large fleet, asks the watchers before all nodes: if a watcher reaches the
+/// subject, that saves a question to each node and a read of the list of nodes. The
+/// error holds the watchers that reach it.
 async fn ask_watchers_first<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -297,67 +304,67 @@
     Err(findings.reached_by)
 }
 
-/// Makes sure that a primary is lost to all, and that nobody knows another one: it
-/// may have been replaced already, unseen by this node. `None` if it may not be
-/// replaced.
+/// Confirms that no node reaches a primary, and that none knows another one: the
+/// primary may have been replaced already without this node's knowledge. Returns `None`
+/// if it may not be replaced.
 pub(super) async fn confirm_not_replaced<P: Platform>(
     gateway: &Gateway<P>,
     primary: &Instance,
 ) -> Option<Agreement> {
-    let (lost, nobody_believes) = tokio::join!(
+    let (lost, no_other) = tokio::join!(
         confirm_lost(gateway, primary),
-        confirm_nobody_believes(gateway, &primary.service),
+        confirm_no_primary_reached(gateway, &primary.service),
     );
-    both(gateway, lost, nobody_believes).await
+    combine_or_release(gateway, lost, no_other).await
 }
 
-/// Makes sure that there is no primary for others: what is not listed may be
-/// there until the directory has settled, no node may believe in a primary that
-/// it reaches (the entry of one that is cut from the directory is gone), and every
-/// instance that told this node no status has to be given up by all. `None` if there
-/// may be a primary.
-pub(super) async fn confirm_none_leads<P: Platform>(
+/// Confirms that a service has no primary. Until the directory has settled, a primary
+/// may exist that is not listed; no node may know a primary that it reaches (a primary
+/// that is cut off from the directory has lost its entry); and all nodes have to agree
+/// that each instance that returned no status to this node is lost. Returns `None` if
+/// there may be a primary.
+pub(super) async fn confirm_no_primary<P: Platform>(
     gateway: &Gateway<P>,
-    situation: &Situation,
+    surveyed: &ServiceSurvey,
 ) -> Option<Agreement> {
-    let service = &situation.service;
+    let service = &surveyed.service;
     if !gateway.cluster.is_directory_settled(Instant::now()) {
         log_withheld(service, "directory_not_settled");
         return None;
     }
-    let mut agreement = confirm_nobody_believes(gateway, service).await?;
-    for instance in &situation.others {
-        let answered = situation
+    let mut agreement = confirm_no_primary_reached(gateway, service).await?;
+    for instance in &surveyed.others {
+        let answered = surveyed
             .statuses
             .iter()
             .any(|status| status.id == instance.id);
         if !answered {
             let lost = confirm_lost(gateway, instance).await;
-            agreement = both(gateway, Some(agreement), lost).await?;
+            agreement = combine_or_release(gateway, Some(agreement), lost).await?;
         }
     }
     Some(agreement)
 }
 
-/// What holds if all agree to both; what only one agreement was for is released.
-async fn both<P: Platform>(
+/// Combines two agreements if both were reached; otherwise releases the one that was.
+async fn combine_or_release<P: Platform>(
     gateway: &Gateway<P>,
     one: Option<Agreement>,
     other: Option<Agreement>,
 ) -> Option<Agreement> {
     match (one, other) {
-        (Some(one), Some(other)) => Some(one.and(other)),
-        (Some(alone), None) | (None, Some(alone)) => {
-            alone.release(gateway).await;
+        (Some(one), Some(other)) => Some(one.combine(other)),
+        (Some(single), None) | (None, Some(single)) => {
+            single.release(gateway).await;
             None
         }
         (None, None) => None,
     }
 }
 
-/// Asks every node whether it reaches a primary of the service, whichever it
-/// believes in. `None` if one does or is silent.
-async fn confirm_nobody_believes<P: Platform>(
+/// Asks every node whether it reaches the primary of the service that it knows. Returns
+/// `None` if a node does or is silent.
+async fn confirm_no_primary_reached<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
 ) -> Option<Agreement> {
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -20,32 +20,32 @@
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
 use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, bounded};
 
-/// How long a claim, a read and a write, may take.
+/// Timeout of a claim, which is a read and a write of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Claims tried in a row when the store gives no answer.
+/// Claims attempted in a row while the store gives no answer.
 const CLAIM_TRIES: u32 = 2;
 
 /// A lease that this node claimed.
 #[derive(Clone, Debug)]
 pub(super) struct Claim {
-    /// The lease.
+    /// The lease as it was written.
     pub lease: FailoverLease,
-    /// When the store was asked for the clock from which the lease counts; it expires
-    /// no earlier than counted from here.
+    /// When the store was asked for the time at which the lease starts: counted from
+    /// here, the lease lasts at least its full time.
     pub asked_at: Instant,
 }
 
 impl Claim {
-    /// The last moment at which an order may be sent that is answered, or given up,
-    /// while the lease lasts.
+    /// The latest moment to send an order so that it is answered or given up while the
+    /// lease lasts.
     pub fn order_by(&self) -> Instant {
         self.asked_at + (LEASE - ORDER_TIMEOUT)
     }
 }
 
-/// Claims the lease of a service for a successor; `None` if another node holds
-/// it or the store cannot be used. An answer that is lost or late is no reason
-/// to find out everything anew: the row tells whether the claim was taken.
+/// Claims the lease of a service for a successor; `None` if another node holds it or
+/// the store cannot be used. If an answer is lost or late, the claim is repeated, not
+/// the whole failover: the row shows whether the first attempt was written.
 pub(super) async fn claim<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -64,7 +64,8 @@
     }
     let asked_at = Instant::now();
     let is_listed = gateway.cluster.permission.holds();
-    // Another process may have had this node's name since, and used the lease.
+    // A node that is not listed must not use its old lease: another process may have
+    // run under its name since, and used that lease.
     let may_use = gateway.platform.checks_tokens() && is_listed;
     let era = gateway.store_era.known();
     let held = gateway
@@ -78,7 +79,7 @@
     held.map(|lease| Claim { lease, asked_at })
 }
 
-/// A lease's row as it is.
+/// The row of a lease as it was read.
 struct LeaseRead {
     lease: Option<FailoverLease>,
     record: LeadRecord,
@@ -96,7 +97,7 @@
         .read_rows(FleetTable::Leases, RowRange::Key(service))
         .await?;
     let row = rows.rows.first();
-    // A row that cannot be read may hold any token: none is handed out over it.
+    // A row that cannot be decoded may hold any token, so no token is issued over it.
     let current = row
         .map(|row| decode_lease(&row.value).ok_or(StoreError::Malformed))
         .transpose()?;
@@ -112,8 +113,8 @@
     })
 }
 
-/// Writes a lease with the record of `read`, if its row is still as it was read; whether it
-/// was written.
+/// Writes a lease with the record of `read` if its row has not changed since it was
+/// read; returns whether it was written.
 async fn write_lease<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -127,7 +128,7 @@
         value: encode_lease(lease, &read.record),
         expected,
     };
-    // Whoever comes to be listed reads the claims alone.
+    // A node that becomes listed reads only the claims.
     let rows = [
         row(FleetTable::Leases, Some(read.version)),
         row(FleetTable::Claims, None),
@@ -136,10 +137,10 @@
     Ok(matches!(written, WriteResult::Written(_)))
 }
 
-/// Makes sure that a lease lasts for an order, which is about to leave. Where nobody
-/// refuses old tokens, the row is written once more and tells so, under the condition
-/// that no other claim came in between: a process that was paused since its claim sent an
-/// order 8.3 s after it. `None` if the lease is lost.
+/// Makes sure that a lease lasts for an order that is about to be sent; `None` if the
+/// lease is lost. Where the authority does not refuse old tokens, the order is noted in
+/// the row, under the condition that no other claim was made in between: a process that
+/// was paused since its claim once sent an order 8.3 s after it.
 pub(super) async fn prepare_order<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -155,7 +156,8 @@
             false => claim(gateway, service, successor).await,
         };
     }
-    // A node that was listed meanwhile was not asked, and may have read this claim.
+    // A node that was listed since was not asked to agree, and may have read this
+    // claim.
     if claimed.asked_at.elapsed() >= LEASE && !is_handed_over {
         return None;
     }
@@ -166,7 +168,7 @@
     Some(Claim { lease, asked_at })
 }
 
-/// An order was answered: other nodes need not wait for it.
+/// Records that an order was answered, so that other nodes need not wait for it.
 pub(super) async fn settle_order<P: Platform>(
     gateway: Arc<Gateway<P>>,
     service: ServiceName,
@@ -183,10 +185,12 @@
         };
         write_lease(&gateway, &service, &settled, &read).await
     };
-    // Without an answer, others wait for the order's whole time.
+    // If this fails, other nodes wait for as long as the order may take effect.
     let _ = timeout(STORE_TIMEOUT, settling).await;
 }
 
+/// Notes in the row of a claimed lease that an order is about to be sent; `None` if
+/// another claim has replaced the lease.
 async fn mark_order<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -203,9 +207,10 @@
     Ok(written.then_some(lease))
 }
 
-/// Reads which leases were claimed lately. Those that are only held ready are left out: with
-/// 1,000 services they were 0.3 MB for each group of nodes that came to follow a reader, most
-/// of 0.33 GB read in a day on which the store turned a third of 985 nodes away.
+/// Reads the leases that were claimed recently. Leases that are only held ready are
+/// left out: with 1,000 services they were 0.3 MB for each group of nodes that began to
+/// follow a reader, and most of the 0.33 GB read on a day on which the store refused a
+/// third of 985 nodes.
 pub(crate) async fn recent_claims<P: Platform>(
     gateway: &Gateway<P>,
 ) -> Result<KnownClaims, StoreError> {
@@ -235,7 +240,7 @@
     })
 }
 
-/// Reads what is kept of a service's promotions.
+/// Reads the record of a service's promotions from the store.
 pub(crate) async fn read_promotion_record<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -245,8 +250,8 @@
         .map(|read| read.record)
 }
 
-/// Keeps that a primary's log was proved to end in a term, unless a newer one is kept;
-/// `false` if somebody else wrote the row meanwhile.
+/// Stores the term in which a primary's log was proved to end, unless a newer one is
+/// stored; returns `false` if another node wrote the row in between.
 pub(crate) async fn record_proved_term<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -270,6 +275,8 @@
     bounded(write_lease(gateway, service, &lease, &read), CALL_TIMEOUT).await
 }
 
+/// Claims the lease if it is free; `None` if another node holds it or wrote its row in
+/// between.
 async fn try_claim<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
--- a/crates/linkhold-gateway/src/failover/misplaced.rs
+++ b/crates/linkhold-gateway/src/failover/misplaced.rs
@@ -1,7 +1,7 @@
-//! When a primary that stands where it should not is looked after.
+//! Schedules tries to replace primaries that stand where they should not.
 //!
-//! Such a primary serves, and may do so for long if no successor is close. So
-//! the nodes take turns by their rank, and each tries again ever more rarely.
+//! Such a primary serves, and may do so for long if no successor is close. So the nodes
+//! take turns by their rank, and each retries with a growing pause.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,10 +11,10 @@
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
-/// Time between the first tries of nodes of consecutive rank: longer than a
-/// switch-over takes.
+/// Time between the first tries of nodes of consecutive rank. Longer than a switch-over
+/// takes.
 const RANK_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Pause before the second try of a node; it doubles.
+/// Pause before the second try of a node; it doubles with each try.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 /// Longest pause between tries.
 const LONGEST_PAUSE: Duration = Duration::from_millis(4_000);
@@ -24,14 +24,14 @@
     pause: Duration,
 }
 
-/// Services whose primary is misplaced, and when this node's next turn comes.
+/// Services whose primary is misplaced, and when this node tries next to replace it.
 #[derive(Default)]
 pub(super) struct MisplacedPrimaries {
     turns: HashMap<ServiceName, Turn>,
 }
 
 impl MisplacedPrimaries {
-    /// Services that this node is to look after now.
+    /// Services whose primary this node is to replace now.
     pub fn due<P: Platform>(&mut self, gateway: &Gateway<P>) -> Vec<ServiceName> {
         let now = Instant::now();
         let services = gateway.cluster.services();
@@ -53,6 +53,7 @@
 }
 
 impl Turn {
+    /// Schedules the next try if one is due; returns whether one was.
     fn take(&mut self, now: Instant) -> bool {
         let is_due = now >= self.next_at;
         if is_due {
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -1,9 +1,9 @@
-//! Looks after primaries: finds out who is primary, and replaces one that is
-//! lost or leaving.
+//! Failover: finds the primary of each service, and replaces one that is lost, leaving
+//! or misplaced.
 //!
-//! Every node looks at a primary when its own traffic makes it suspect, or when
-//! another node asks. Which of them acts is settled by a lease in the metadata
-//! store; the rendezvous rank of a node only spreads their tries.
+//! Every node checks a primary when its own traffic makes it suspect, or when another
+//! node asks. A lease in the metadata store decides which node acts; the rendezvous
+//! rank of a node only spreads their tries.
 
 mod diagnosis;
 mod lease;
@@ -26,7 +26,7 @@
 use crate::ports::Platform;
 use crate::relay;
 
-use diagnosis::{diagnose, learn_leader};
+use diagnosis::{diagnose, learn_primary};
 use misplaced::MisplacedPrimaries;
 use promotion::replace;
 
@@ -34,35 +34,35 @@
 pub(crate) use ready_leases::hold_leases_ready;
 pub(crate) use recorder::update_promotion_records;
 
-/// How often primaries that leave are looked for.
-const LOOK_INTERVAL: Duration = Duration::from_millis(400);
+/// How often services are checked for leaving primaries.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// Time between the tries of nodes of consecutive rank.
 const RANK_INTERVAL: Duration = Duration::from_millis(90);
-/// Longest delay that a rank causes.
+/// Longest delay by rank.
 const LONGEST_RANK_DELAY: Duration = Duration::from_millis(700);
-/// Pause before a primary that turned out reachable is looked at again.
-const CALM_PAUSE: Duration = Duration::from_millis(250);
-/// First pause before the watchers of a service are asked who leads it: a replacement takes
-/// about as long.
+/// Pause before a primary that turned out to need no failover is checked again.
+const RECHECK_PAUSE: Duration = Duration::from_millis(250);
+/// First pause before the watchers of a service are asked for its primary: a
+/// replacement takes about as long.
 const FIRST_LEARNING_PAUSE: Duration = Duration::from_millis(500);
-/// Longest of these pauses, which double: a thousand nodes ask a service's twelve watchers
-/// 250 times a second then.
+/// Longest of these pauses, which double: at this pause a thousand nodes ask a
+/// service's twelve watchers 250 times a second.
 const LONGEST_LEARNING_PAUSE: Duration = Duration::from_millis(8_000);
-/// Pause after a try that led to nothing.
+/// Pause after a try that did not end the failover.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Starts a look at each service that needs one; one at a time for a service.
+/// Starts a check of each service that needs one, at most one at a time for a service.
 /// Runs until the process ends.
 pub(crate) async fn watch_primaries<P: Platform>(gateway: Arc<Gateway<P>>) {
-    let mut busy: HashSet<ServiceName> = HashSet::new();
+    let mut in_progress: HashSet<ServiceName> = HashSet::new();
     let mut misplaced = MisplacedPrimaries::default();
     let (finished, mut finishes) = mpsc::unbounded_channel();
     loop {
         tokio::select! {
             () = gateway.attention.raised() => {}
-            () = sleep(LOOK_INTERVAL) => {}
+            () = sleep(CHECK_INTERVAL) => {}
             Some(service) = finishes.recv() => {
-                busy.remove(&service);
+                in_progress.remove(&service);
             }
         }
         relay::try_direct_ways(&gateway);
@@ -70,13 +70,13 @@
         services.extend(services_with_leaving_primary(&gateway));
         services.extend(misplaced.due(&gateway));
         for service in services {
-            if !busy.insert(service.clone()) {
+            if !in_progress.insert(service.clone()) {
                 continue;
             }
             let gateway = gateway.clone();
             let finished = finished.clone();
             tokio::spawn(async move {
-                look_after(&gateway, &service).await;
+                check_primary(&gateway, &service).await;
                 // The receiver lives as long as the process.
                 let _ = finished.send(service);
             });
@@ -89,54 +89,55 @@
     gateway.cluster.services_without_lasting_primary(now)
 }
 
-/// What is wrong with a service's primary.
+/// Why a service's primary is to be replaced. The names appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FailoverReason {
-    /// Nobody is known to be primary.
+    /// No primary is known.
     Unknown,
-    /// It is not reached by most nodes.
+    /// No node that was asked reaches it.
     Lost,
-    /// It is leaving and still serves.
+    /// It is leaving, and still serves.
     Leaving,
-    /// It serves, and stands where a primary of its service should not.
+    /// It serves, but stands where a primary of its service should not.
     Misplaced,
 }
 
-/// Looks at a service's primary and replaces it if that is needed.
-async fn look_after<P: Platform>(gateway: &Arc<Gateway<P>>, service: &ServiceName) {
+/// Checks a service's primary and replaces it if needed.
+async fn check_primary<P: Platform>(gateway: &Arc<Gateway<P>>, service: &ServiceName) {
     loop {
         if gateway.is_leaving() {
             return;
         }
-        let subject = primary_id(gateway, service);
+        let diagnosed = primary_id(gateway, service);
         let Some(reason) = diagnose(gateway, service).await else {
-            sleep(CALM_PAUSE).await;
+            sleep(RECHECK_PAUSE).await;
             return;
         };
         if !gateway.watches(service) {
             return wait_for_watchers(gateway, service).await;
         }
         sleep(rank_delay(gateway, service)).await;
-        replace(gateway, service, reason, subject.as_ref()).await;
+        replace(gateway, service, reason, diagnosed.as_ref()).await;
         if reason == FailoverReason::Misplaced {
-            // It serves all the while: the next try comes when it is due.
+            // The primary still serves: `MisplacedPrimaries` schedules the next try.
             return;
         }
-        if !needs_care(gateway, service) {
+        if !needs_failover(gateway, service) {
             return;
         }
         sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Waits until the primary of a service that others watch needs no care any more: they
-/// replace it, and tell who leads if nobody else does.
+/// Waits until the primary of a service that this node does not watch needs no failover
+/// any more: its watchers replace it, and are asked for the new one if no announcement
+/// names it.
 async fn wait_for_watchers<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) {
     let mut pause = FIRST_LEARNING_PAUSE;
-    while !gateway.is_leaving() && needs_care(gateway, service) {
+    while !gateway.is_leaving() && needs_failover(gateway, service) {
         sleep(pause.mul_f64(rand::random_range(0.5..1.5))).await;
         pause = (pause * 2).min(LONGEST_LEARNING_PAUSE);
-        if needs_care(gateway, service) && learn_leader(gateway, service).await {
+        if needs_failover(gateway, service) && learn_primary(gateway, service).await {
             return;
         }
     }
@@ -149,25 +150,26 @@
         .map(|primary| primary.id.clone())
 }
 
-/// Whether the primary that was diagnosed is still the one believed in, or is
-/// no longer believed in and nobody else is. A diagnosis says nothing about
-/// another primary.
-fn is_still_subject<P: Platform>(
+/// Whether the diagnosed primary is still the known one, or no primary is known any
+/// more. A diagnosis does not apply to another primary.
+fn is_diagnosis_current<P: Platform>(
     gateway: &Gateway<P>,
     service: &str,
-    subject: Option<&InstanceId>,
+    diagnosed: Option<&InstanceId>,
 ) -> bool {
-    let present = primary_id(gateway, service);
-    present.is_none() || present.as_ref() == subject
+    let known = primary_id(gateway, service);
+    known.is_none() || known.as_ref() == diagnosed
 }
 
+/// Delay before this node's try, by its rank for the service.
 fn rank_delay<P: Platform>(gateway: &Gateway<P>, service: &str) -> Duration {
     let rank = gateway.fleet.rank(&gateway.settings.node, service);
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
     RANK_INTERVAL.saturating_mul(rank).min(LONGEST_RANK_DELAY)
 }
 
-fn needs_care<P: Platform>(gateway: &Gateway<P>, service: &str) -> bool {
+/// Whether a service has no known primary, or one that is leaving or failing.
+fn needs_failover<P: Platform>(gateway: &Gateway<P>, service: &str) -> bool {
     let now = Instant::now();
     match gateway.cluster.primary(service) {
         None => true,
--- a/crates/linkhold-gateway/src/failover/order.rs
+++ b/crates/linkhold-gateway/src/failover/order.rs
@@ -1,4 +1,4 @@
-//! Orders a promotion.
+//! Orders the promotion of a successor and follows it up.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,23 +19,24 @@
 use crate::gateway::Gateway;
 use crate::ports::{Platform, PromoteAnswer, PromoteOrder};
 
-/// How long a successor may take to lead after the order was accepted.
-const LEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How often a successor is asked whether it leads, when nothing announces it.
-const LEAD_QUESTION_INTERVAL: Duration = Duration::from_millis(400);
+/// Time that a successor may take to become primary after it was ordered.
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How often a successor is asked for its status while it does not announce its new
+/// role.
+const STATUS_INTERVAL: Duration = Duration::from_millis(400);
 
-/// On what an order rests.
+/// The claim and the agreement that an order is based on.
 pub(super) struct Grounds {
-    /// What is wrong with the primary.
+    /// Why the primary is replaced.
     pub reason: FailoverReason,
-    /// The lease.
+    /// The claimed lease.
     pub claim: Claim,
-    /// What the other nodes agreed to; `None` if the primary ended its term itself.
+    /// Agreement of the other nodes; `None` if the primary ended its term itself.
     pub agreement: Option<Agreement>,
 }
 
 impl Grounds {
-    /// The last moment at which an order may be sent on these grounds.
+    /// The latest moment to send an order on these grounds.
     fn order_by(&self) -> Instant {
         let by_lease = self.claim.order_by();
         match &self.agreement {
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Nothing is ordered on these grounds.
+    /// Logs why nothing is ordered on these grounds, and releases the nodes that
+    /// agreed.
     pub async fn give_up<P: Platform>(
         self,
         gateway: &Gateway<P>,
@@ -58,7 +60,7 @@
         self.release(gateway).await;
     }
 
-    /// Tells whoever agreed that nothing of it comes any more.
+    /// Releases the nodes that agreed: no order takes effect any more.
     async fn release<P: Platform>(self, gateway: &Gateway<P>) {
         if let Some(agreement) = self.agreement {
             agreement.release(gateway).await;
@@ -66,22 +68,22 @@
     }
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum OrderEnd {
+pub(super) enum OrderOutcome {
     /// It was not sent, or was refused.
     NotCarriedOut,
-    /// It was taken, or may have been.
+    /// It was accepted, or may have been.
     MayBeCarriedOut,
 }
 
-/// Orders a promotion, and waits until the successor leads.
+/// Orders a promotion and waits until the successor is primary.
 pub(super) async fn order<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
     successor: &InstanceStatus,
     mut grounds: Grounds,
-) -> OrderEnd {
+) -> OrderOutcome {
     let Some(claim) = prepare_order(
         gateway,
         service,
@@ -91,13 +93,13 @@
     .await
     else {
         grounds.give_up(gateway, service, "lease_lost").await;
-        return OrderEnd::NotCarriedOut;
+        return OrderOutcome::NotCarriedOut;
     };
     grounds.claim = claim;
     let order_by = grounds.order_by();
     if Instant::now() >= order_by {
         grounds.give_up(gateway, service, "too_late").await;
-        return OrderEnd::NotCarriedOut;
+        return OrderOutcome::NotCarriedOut;
     }
     let lease = &grounds.claim.lease;
     let order = PromoteOrder {
@@ -116,22 +118,24 @@
     log_order(&order, successor.received, &grounds, answer, started);
     let is_settled =
         answer != PromoteAnswer::Unknown && gateway.leases.answered(service, order.token);
-    // Others need not wait for it, nor this node if it orders another one.
+    // Then neither other nodes nor a later order of this node have to wait for this
+    // order.
     let ordered = grounds.claim.lease.clone();
     let settling = (is_settled && ordered.ordered_at.is_some())
         .then(|| tokio::spawn(settle_order(gateway.clone(), service.clone(), ordered)));
     let given_up = match answer {
         PromoteAnswer::Accepted | PromoteAnswer::Unknown => {
-            await_lead(gateway, service, &successor.id).await;
+            await_promotion(gateway, service, &successor.id).await;
             if answer == PromoteAnswer::Accepted && successor.role == Role::Primary {
-                // It said that it led: nobody else is replaced, and those who agreed may use it.
+                // The successor already had the role: no other primary is replaced, and
+                // the nodes that agreed may use it.
                 grounds.release(gateway).await;
             }
-            return OrderEnd::MayBeCarriedOut;
+            return OrderOutcome::MayBeCarriedOut;
         }
         PromoteAnswer::Refused => {
-            // A newer token may have been seen: this one is not used without the
-            // store again.
+            // The authority may have seen a newer token: this one is not used without
+            // the store again.
             gateway.leases.lost(service);
             "refused"
         }
@@ -140,10 +144,11 @@
     };
     grounds.give_up(gateway, service, given_up).await;
     if let Some(settling) = settling {
-        // One that failed leaves the row as it was: the next claim waits for it.
+        // If this failed, the row still notes the order, and the next claim waits for
+        // it.
         let _ = settling.await;
     }
-    OrderEnd::NotCarriedOut
+    OrderOutcome::NotCarriedOut
 }
 
 fn log_order(
@@ -174,15 +179,16 @@
         .log();
 }
 
-/// Waits until the successor leads: it announces that, or says so when asked.
-async fn await_lead<P: Platform>(
+/// Waits until the successor is primary: it announces the role, or reports it when
+/// asked.
+async fn await_promotion<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
     successor: &InstanceId,
 ) {
-    let deadline = Instant::now() + LEAD_TIMEOUT;
+    let deadline = Instant::now() + PROMOTION_TIMEOUT;
     let mut changes = gateway.cluster.subscribe();
-    let mut ask_at = Instant::now() + LEAD_QUESTION_INTERVAL;
+    let mut ask_at = Instant::now() + STATUS_INTERVAL;
     while Instant::now() < deadline {
         changes.mark_unchanged();
         if gateway
@@ -193,7 +199,7 @@
             return;
         }
         if Instant::now() >= ask_at {
-            ask_at = Instant::now() + LEAD_QUESTION_INTERVAL;
+            ask_at = Instant::now() + STATUS_INTERVAL;
             let Some(instance) = gateway.cluster.instance(successor) else {
                 return;
             };
@@ -205,7 +211,7 @@
                 return;
             }
         }
-        // Time passing is as good a reason to look again as a change.
+        // Checks again after a change or a timeout alike.
         let _ = timeout_at(ask_at.min(deadline).into(), changes.changed()).await;
     }
 }
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -1,4 +1,4 @@
-//! Replaces a primary: chooses the successor and hands over.
+//! Replaces a primary: chooses a successor, and hands over to it or promotes it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,44 +13,48 @@
 use linkhold_events::Event;
 use tokio::time::{sleep, sleep_until};
 
-use super::diagnosis::{Agreement, confirm_none_leads, confirm_not_replaced, learn_leader};
+use super::diagnosis::{Agreement, confirm_no_primary, confirm_not_replaced, learn_primary};
 use super::lease::{Claim, claim};
-use super::order::{Grounds, OrderEnd, order};
-use super::{FailoverReason, is_still_subject};
+use super::order::{Grounds, OrderOutcome, order};
+use super::{FailoverReason, is_diagnosis_current};
 use crate::evidence::{primary_verification, survey};
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
-/// How long replicas may take to receive what a primary that stepped down had.
+/// Time that a successor may take to receive the log of a primary that stepped down.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(600);
-/// The same where the old primary stays: nothing it had is to be undone.
+/// The same where the old primary is not leaving: none of its commits may be undone.
 const MISPLACED_CATCH_UP_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Pause between questions whether they have.
+/// Pause between status requests to a successor that catches up.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(15);
 
-/// What was found out before a primary is replaced.
-pub(super) struct Situation {
+/// Instances of a service and their statuses, as surveyed before its primary is
+/// replaced.
+pub(super) struct ServiceSurvey {
     pub(super) service: ServiceName,
-    /// All instances but the old primary.
+    /// All instances except the old primary.
     pub(super) others: Vec<Arc<Instance>>,
+    /// Statuses of those of `others` that answered.
     pub(super) statuses: Vec<InstanceStatus>,
     pub(super) old: Option<Arc<Instance>>,
 }
 
+/// Replaces the primary of a service for a reason, as long as `diagnosed` is still its
+/// primary or it has none.
 pub(super) async fn replace<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
     reason: FailoverReason,
-    subject: Option<&InstanceId>,
+    diagnosed: Option<&InstanceId>,
 ) {
-    if !is_still_subject(gateway, service, subject) {
+    if !is_diagnosis_current(gateway, service, diagnosed) {
         return;
     }
-    let situation = survey_service(gateway, service).await;
-    if reason == FailoverReason::Unknown && find_primary(gateway, &situation).await {
+    let surveyed = survey_service(gateway, service).await;
+    if reason == FailoverReason::Unknown && find_primary(gateway, &surveyed).await {
         return;
     }
-    let Some(successor) = successor(gateway, service, reason, &situation) else {
+    let Some(successor) = select_successor(gateway, service, reason, &surveyed) else {
         return;
     };
     let Some(claimed) = claim(gateway, service, &successor.status.id).await else {
@@ -64,15 +68,15 @@
     match reason {
         FailoverReason::Leaving | FailoverReason::Misplaced => {
             let grounds = grounds(claimed, None);
-            switch_over(gateway, &situation, &successor.status, grounds).await;
+            switch_over(gateway, &surveyed, &successor.status, grounds).await;
         }
         FailoverReason::Lost | FailoverReason::Unknown => {
-            let agreed = agree(gateway, reason, &situation, claimed).await;
+            let agreed = obtain_agreement(gateway, reason, &surveyed, claimed).await;
             let Some((claimed, agreement)) = agreed else {
                 return;
             };
             let grounds = grounds(claimed, Some(agreement));
-            if !is_still_subject(gateway, service, subject) {
+            if !is_diagnosis_current(gateway, service, diagnosed) {
                 return grounds.give_up(gateway, service, "primary_changed").await;
             }
             order(gateway, service, &successor.status, grounds).await;
@@ -80,42 +84,42 @@
     }
 }
 
-/// Ends the term of a primary that still serves and has its successor lead; or has the old
-/// one lead again if the successor cannot.
+/// Ends the term of a primary that still serves and promotes its successor, or restores
+/// the old primary if the successor cannot be promoted.
 async fn switch_over<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    situation: &Situation,
+    surveyed: &ServiceSurvey,
     successor: &InstanceStatus,
     grounds: Grounds,
 ) {
-    let (Some(old), Some(instance)) = (&situation.old, gateway.cluster.instance(&successor.id))
+    let (Some(old), Some(instance)) = (&surveyed.old, gateway.cluster.instance(&successor.id))
     else {
         return;
     };
     let reason = grounds.reason;
-    let Some(ended) = end_term(gateway, situation, old, successor, reason).await else {
+    let Some(ended) = end_term(gateway, surveyed, old, successor, reason).await else {
         return;
     };
-    let service = &situation.service;
+    let service = &surveyed.service;
     let handed_over = grounds.claim.lease.clone();
     let caught_up = catch_up(gateway, &instance, successor, &ended, reason).await;
-    if !is_still_subject(gateway, service, Some(&old.id)) {
+    if !is_diagnosis_current(gateway, service, Some(&old.id)) {
         return grounds.give_up(gateway, service, "primary_changed").await;
     }
-    let end = match caught_up {
+    let outcome = match caught_up {
         Some(caught_up) => order(gateway, service, &caught_up, grounds).await,
-        None => OrderEnd::NotCarriedOut,
+        None => OrderOutcome::NotCarriedOut,
     };
-    if end == OrderEnd::NotCarriedOut {
-        lead_again(gateway, old, &ended, &handed_over, reason).await;
+    if outcome == OrderOutcome::NotCarriedOut {
+        restore_old_primary(gateway, old, &ended, &handed_over, reason).await;
     }
 }
 
-/// Has an old primary lead again that stepped down for a successor which does not lead,
-/// unless somebody else may have ordered a promotion since `handed_over` was claimed. A
-/// service whose successor ended just then had no primary for 2.5 s, until the nodes had
-/// agreed that none leads.
-async fn lead_again<P: Platform>(
+/// Promotes an old primary again that stepped down for a successor which was not
+/// promoted, unless another node may have ordered a promotion since `handed_over` was
+/// claimed. Without this, a service whose successor failed at that point had no primary
+/// for 2.5 s, until the nodes had agreed that there is none.
+async fn restore_old_primary<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     old: &Arc<Instance>,
     ended: &InstanceStatus,
@@ -125,7 +129,7 @@
     let Some(present) = survey::status(gateway, old).await else {
         return;
     };
-    // Its term is newer if somebody else has ordered a promotion since.
+    // Its term is newer if another node has ordered a promotion since.
     if present.role == Role::Primary || present.term != ended.term {
         return;
     }
@@ -133,17 +137,18 @@
     let Some(claim) = claim(gateway, service, &old.id).await else {
         return;
     };
-    // One that is cut off does not hear of a promotion, so its term does not tell.
-    let leads_again = claim.lease.directly_follows(handed_over);
+    // An instance that is cut off does not learn of a promotion, so its term is not
+    // enough.
+    let may_restore = claim.lease.directly_follows(handed_over);
     Event::info("hand_over_undone")
         .field("service", service)
         .field("old", &old.id)
         .field("term", present.term)
         .field("token", claim.lease.token)
         .field("handed_over_under", handed_over.token)
-        .field("leads_again", leads_again)
+        .field("leads_again", may_restore)
         .log();
-    if !leads_again {
+    if !may_restore {
         return;
     }
     let grounds = Grounds {
@@ -151,52 +156,54 @@
         claim,
         agreement: None,
     };
-    if !is_still_subject(gateway, service, None) {
+    if !is_diagnosis_current(gateway, service, None) {
         return grounds.give_up(gateway, service, "primary_changed").await;
     }
     order(gateway, service, &present, grounds).await;
 }
 
-/// Has all nodes agree, and those that cannot be asked stop; with the claim under which
-/// they were asked last.
-async fn agree<P: Platform>(
+/// Obtains the agreement of all nodes, and waits until those that cannot be asked have
+/// stopped acknowledging. Returns it with the claim under which the nodes were last
+/// asked.
+async fn obtain_agreement<P: Platform>(
     gateway: &Gateway<P>,
     reason: FailoverReason,
-    situation: &Situation,
+    surveyed: &ServiceSurvey,
     claimed: Claim,
 ) -> Option<(Claim, Agreement)> {
-    let service = &situation.service;
-    let agreement = ask_everyone(gateway, reason, situation).await?;
+    let service = &surveyed.service;
+    let agreement = ask_all_nodes(gateway, reason, surveyed).await?;
     if agreement.silent_former == 0 {
         return Some((claimed, agreement));
     }
     wait_for_silent_nodes(service, &agreement).await;
     agreement.release(gateway).await;
-    // Whoever is listed from now on sees the claim, or is asked.
+    // A node that is listed from now on reads the new claim, or is asked to agree.
     let successor = claimed.lease.successor.as_ref()?;
     let claimed = claim(gateway, service, successor).await?;
-    let agreement = ask_everyone(gateway, reason, situation).await?;
+    let agreement = ask_all_nodes(gateway, reason, surveyed).await?;
     Some((claimed, agreement))
 }
 
-/// Has all nodes acknowledge nothing that the present primary commits, so that it may
-/// be replaced; `None` if they do not agree.
-async fn ask_everyone<P: Platform>(
+/// Asks all nodes to stop acknowledging for the present primary, so that it may be
+/// replaced; `None` if they do not agree.
+async fn ask_all_nodes<P: Platform>(
     gateway: &Gateway<P>,
     reason: FailoverReason,
-    situation: &Situation,
+    surveyed: &ServiceSurvey,
 ) -> Option<Agreement> {
-    match &situation.old {
+    match &surveyed.old {
         Some(primary) if reason == FailoverReason::Lost => {
             confirm_not_replaced(gateway, primary).await
         }
-        // What was lost is no longer believed in: the others decide.
-        _ => confirm_none_leads(gateway, situation).await,
+        // The lost primary is no longer the known one: the others decide.
+        _ => confirm_no_primary(gateway, surveyed).await,
     }
 }
 
-/// Waits until nodes that are no longer listed, and were not heard, have stopped to
-/// speak for the primary: they may rely on what others confirmed before they agreed.
+/// Waits until nodes that are no longer listed and did not answer have stopped
+/// acknowledging for the primary: they may rely on confirmations that others gave
+/// before they agreed.
 async fn wait_for_silent_nodes(service: &ServiceName, agreement: &Agreement) {
     Event::info("promotion_delayed")
         .field("service", service)
@@ -206,7 +213,8 @@
     sleep_until((agreement.answered_at + CONFIRMATION_LIFE).into()).await;
 }
 
-async fn survey_service<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> Situation {
+/// Asks all instances of a service but its primary for their statuses.
+async fn survey_service<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> ServiceSurvey {
     let old = gateway.cluster.primary(service);
     let others: Vec<Arc<Instance>> = gateway
         .cluster
@@ -218,7 +226,7 @@
     for status in &statuses {
         gateway.cluster.observe_term(service, status.term);
     }
-    Situation {
+    ServiceSurvey {
         service: service.clone(),
         others,
         statuses,
@@ -226,42 +234,43 @@
     }
 }
 
-/// Finds an instance that says it is primary and was not replaced, by what is known here or,
-/// if that does not tell, by what others know; whether one is believed now.
-async fn find_primary<P: Platform>(gateway: &Gateway<P>, situation: &Situation) -> bool {
-    let service = &situation.service;
-    let Some(claimant) = claimant(gateway, service, &situation.statuses) else {
+/// Looks for an instance that reports being primary and was not replaced, as far as
+/// this node can verify, or else for one that other nodes name. Returns whether a
+/// primary is known now.
+async fn find_primary<P: Platform>(gateway: &Gateway<P>, surveyed: &ServiceSurvey) -> bool {
+    let service = &surveyed.service;
+    let Some(claimant) = newest_claimant(gateway, service, &surveyed.statuses) else {
         return false;
     };
     let Some(instance) = gateway.cluster.instance(&claimant.id) else {
         return false;
     };
     let verdict =
-        primary_verification::determine_verdict(gateway, &instance, &situation.statuses).await;
+        primary_verification::determine_verdict(gateway, &instance, &surveyed.statuses).await;
     if verdict == LeadVerdict::Leads {
         gateway
             .cluster
             .confirm_primary(&claimant.id, PrimarySource::Asked);
         return true;
     }
-    learn_leader(gateway, service).await
+    learn_primary(gateway, service).await
 }
 
-/// An instance that says it is primary in the newest term that is known. Where several
-/// announce that they lead, all have to tell their term: the one that is silent may be
-/// the newest.
-fn claimant<'a, P: Platform>(
+/// An instance that reports being primary in the newest known term. Where several
+/// announce the role, all of them have to report their terms: one that does not answer
+/// may be the newest.
+fn newest_claimant<'a, P: Platform>(
     gateway: &Gateway<P>,
     service: &str,
     statuses: &'a [InstanceStatus],
 ) -> Option<&'a InstanceStatus> {
-    let has_told = |id: &InstanceId| statuses.iter().any(|status| status.id == *id);
+    let has_answered = |id: &InstanceId| statuses.iter().any(|status| status.id == *id);
     let claimants = gateway.cluster.claimants(service);
-    if claimants.len() > 1 && !claimants.iter().all(has_told) {
+    if claimants.len() > 1 && !claimants.iter().all(has_answered) {
         return None;
     }
     let newest = gateway.cluster.newest_term(service)?;
-    // One that started again holds nothing, and may say that it leads all the same.
+    // An instance that has restarted holds nothing, but may still report being primary.
     let proved = gateway.cluster.newest_position(service);
     let holds_proved = |status: &&InstanceStatus| Some(status.received) >= proved;
     statuses
@@ -270,21 +279,21 @@
         .find(|status| status.role == Role::Primary && status.term >= newest)
 }
 
-/// The instance to promote, if enough is known to choose one.
-fn successor<P: Platform>(
+/// The instance to promote; `None` if too few statuses are known to choose one.
+fn select_successor<P: Platform>(
     gateway: &Gateway<P>,
     service: &str,
     reason: FailoverReason,
-    situation: &Situation,
+    surveyed: &ServiceSurvey,
 ) -> Option<Successor> {
     let now = Instant::now();
     let synchronous = gateway
         .cluster
         .limits(service)
         .map_or(0, |limits| limits.synchronous_replicas);
-    let required = failover::statuses_required(situation.others.len(), synchronous);
+    let required = failover::statuses_required(surveyed.others.len(), synchronous);
     let evidence = newest_evidence(gateway, service);
-    let candidates: Vec<Successor> = situation
+    let candidates: Vec<Successor> = surveyed
         .statuses
         .iter()
         .filter(|status| failover::is_current(status, evidence))
@@ -294,7 +303,8 @@
             is_well_placed: is_well_placed(gateway, &status.id),
             is_warm: !gateway.cluster.is_cold(&status.id),
         })
-        // A primary that serves is replaced only by one that is to stay.
+        // A misplaced primary still serves: its successor must be well placed and not
+        // leaving.
         .filter(|it| reason != FailoverReason::Misplaced || it.is_well_placed && !it.is_leaving)
         .collect();
     let candidates = match reason {
@@ -304,11 +314,11 @@
         FailoverReason::Unknown | FailoverReason::Lost => candidates,
     };
     let chosen = failover::choose_successor(&candidates, synchronous);
-    if chosen.is_none() || situation.statuses.len() < required {
+    if chosen.is_none() || surveyed.statuses.len() < required {
         Event::warn("no_successor")
             .field("service", service)
-            .field("replicas", situation.others.len())
-            .field("statuses", situation.statuses.len())
+            .field("replicas", surveyed.others.len())
+            .field("statuses", surveyed.statuses.len())
             .field("candidates", candidates.len())
             .field("required", required)
             .log();
@@ -317,7 +327,8 @@
     chosen.cloned()
 }
 
-/// Where a log has to end at least to lack nothing of a newer term than its own.
+/// The lowest position at which a log lacks nothing that is proved, nor the newest
+/// proved term.
 fn newest_evidence<P: Platform>(gateway: &Gateway<P>, service: &str) -> Option<Position> {
     let proved_term = gateway.cluster.newest_proved_term(service);
     let start_of_term = proved_term.map(|term| Position { term, index: 0 });
@@ -329,8 +340,8 @@
     instance.is_some_and(|instance| gateway.cluster.is_well_placed(&instance))
 }
 
-/// Whether an instance says that it leads, and nothing is known of a newer term.
-fn leads_newest_term<P: Platform>(
+/// Whether an instance reports being primary, and no newer term is known.
+fn is_primary_of_newest_term<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     status: &InstanceStatus,
@@ -339,26 +350,26 @@
     status.role == Role::Primary && Some(status.term) >= newest
 }
 
-/// Ends the term of a primary that leaves, or is misplaced; what it says afterwards. `None`
-/// if that is not possible yet.
+/// Ends the term of a primary that is leaving or misplaced; returns its status
+/// afterwards, or `None` if its term cannot be ended yet.
 async fn end_term<P: Platform>(
     gateway: &Gateway<P>,
-    situation: &Situation,
+    surveyed: &ServiceSurvey,
     old: &Arc<Instance>,
     successor: &InstanceStatus,
     reason: FailoverReason,
 ) -> Option<InstanceStatus> {
     let present = survey::status(gateway, old).await?;
-    // A node that stood still during another's hand-over did it once more when it woke,
-    // from the old primary's log: 3 to 5 commits of the new one were undone.
+    // A node that was paused during another node's hand-over repeated it on resuming,
+    // from the old primary's log: 3 to 5 commits of the new primary were undone.
     if !gateway.cluster.permission.holds() {
         return None;
     }
-    if !leads_newest_term(gateway, old, &present) {
+    if !is_primary_of_newest_term(gateway, old, &present) {
         gateway.instance_denied_primary(old);
         return None;
     }
-    // One that is misplaced does not end by itself: it waits for its successor.
+    // A misplaced primary does not leave by itself: it waits for its successor.
     let leaving_for = match reason {
         FailoverReason::Leaving => gateway.cluster.leaving_for(&old.id, Instant::now())?,
         FailoverReason::Unknown | FailoverReason::Lost | FailoverReason::Misplaced => {
@@ -368,7 +379,7 @@
     let drain = gateway.settings.drain;
     if !failover::may_hand_over(present.received, successor.received, leaving_for, drain) {
         Event::info("hand_over_postponed")
-            .field("service", &situation.service)
+            .field("service", &surveyed.service)
             .field("position", present.received)
             .field("successor_position", successor.received)
             .log();
@@ -380,9 +391,9 @@
     Some(ended)
 }
 
-/// Waits until a successor has everything that the old primary had, so that no commit is
-/// rolled back; what it says then. `None` if it has not, and the old primary may as well
-/// lead again.
+/// Waits until a successor has received the whole log of the old primary, so that no
+/// commit is rolled back; returns its latest status. `None` if it has not caught up and
+/// the old primary can be restored.
 async fn catch_up<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
@@ -409,7 +420,9 @@
         .field("successor", &successor.id)
         .field("successor_position", latest.received)
         .log();
-    // A leaving one is replaced all the same: it may be gone before it could lead again.
-    let undoes = reason == FailoverReason::Misplaced && latest.received < ended.received;
-    (!undoes).then_some(latest)
+    // A leaving primary is replaced all the same: it may be gone before it could be
+    // restored.
+    let would_lose_commits =
+        reason == FailoverReason::Misplaced && latest.received < ended.received;
+    (!would_lose_commits).then_some(latest)
 }
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -1,10 +1,10 @@
-//! Leases that are held ready, so that a promotion needs no store where the authority
+//! Holds leases ready, so that a promotion does not need the store where the authority
 //! itself refuses old tokens.
 //!
-//! The nodes that read the store share the services. Each reads all leases in one call
-//! and writes those that are its own together, so that calls do not grow with services:
-//! one by one they were 2,000 for 1,000 services, and 330 a second once other nodes had
-//! become the first for them.
+//! The nodes that read the store divide the services among them. Each reads all leases
+//! in one call and writes its own in batches, so that the number of calls does not grow
+//! with the services: one by one, 1,000 services took 2,000 calls, and 330 a second
+//! after other nodes had become the first in rank for them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -22,26 +22,27 @@
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
 use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, bounded};
 
-/// How often a node looks for leases that it is to hold ready.
-const LOOK_INTERVAL: Duration = Duration::from_millis(3_000);
-/// How long others' leases are left alone after they were read: one whose holder is gone
-/// is missed only while the store is away as well.
+/// How often a node checks for leases that it is to hold ready.
+const CHECK_INTERVAL: Duration = Duration::from_millis(3_000);
+/// How long other nodes' leases are not read again: a lease whose holder has left the
+/// fleet is needed only while the store is unavailable.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(30);
-/// Leases that are written in one call, at the most: the store takes a hundred entries, and a
-/// row with its condition is two.
-const MOST_TOGETHER: usize = 50;
+/// Maximum number of leases written in one call: the store accepts 100 entries per
+/// call, and a row with its condition takes two.
+const MAX_BATCH: usize = 50;
 
-/// Holds the leases ready whose first node this is. Runs until the process ends.
+/// Holds the leases ready of the services for which this node is first in rank. Runs
+/// until the process ends.
 pub(crate) async fn hold_leases_ready<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut reviewed: Option<Review> = None;
     loop {
-        sleep(LOOK_INTERVAL.mul_f64(rand::random_range(0.8..1.2))).await;
+        sleep(CHECK_INTERVAL.mul_f64(rand::random_range(0.8..1.2))).await;
         let wanted = wanted(&gateway);
         let is_known = reviewed.as_ref().is_some_and(|it| it.covers(&wanted));
         if wanted.is_empty() || is_known || gateway.is_leaving() {
             continue;
         }
-        // Without the store there is nothing to hold; the next round tries again.
+        // If the store is unavailable, the next round tries again.
         if hold_ready(&gateway, &wanted).await.is_ok() {
             reviewed = Some(Review {
                 services: wanted,
@@ -51,20 +52,20 @@
     }
 }
 
-/// Services whose leases were looked at.
+/// Services whose leases were reviewed, and when.
 struct Review {
     services: BTreeSet<ServiceName>,
     at: Instant,
 }
 
 impl Review {
-    /// Whether nothing is to be found out by looking again.
+    /// Whether the review is recent and includes all wanted services.
     fn covers(&self, wanted: &BTreeSet<ServiceName>) -> bool {
         self.at.elapsed() < REVIEW_INTERVAL && wanted.is_subset(&self.services)
     }
 }
 
-/// Services whose leases this node is the first to hold and does not.
+/// Services for which this node is first in rank and whose lease it does not hold.
 fn wanted<P: Platform>(gateway: &Gateway<P>) -> BTreeSet<ServiceName> {
     let node = &gateway.settings.node;
     let era = gateway.store_era.known();
@@ -75,7 +76,7 @@
         .collect()
 }
 
-/// A lease to be written.
+/// A lease to be written, and the version of the row that it replaces.
 struct NewLease {
     service: ServiceName,
     lease: FailoverLease,
@@ -83,13 +84,14 @@
     version: StorePlace,
 }
 
+/// Takes the wanted leases that are free, in batches.
 async fn hold_ready<P: Platform>(
     gateway: &Gateway<P>,
     wanted: &BTreeSet<ServiceName>,
 ) -> Result<(), StoreError> {
     let leases = leases_to_write(gateway, wanted).await?;
-    for together in leases.chunks(MOST_TOGETHER) {
-        let rows = together.iter().map(|new| RowWrite {
+    for batch in leases.chunks(MAX_BATCH) {
+        let rows = batch.iter().map(|new| RowWrite {
             table: FleetTable::Leases,
             key: &new.service,
             value: encode_lease(&new.lease, &new.record),
@@ -99,10 +101,10 @@
         let rows: Vec<RowWrite<'_>> = rows.collect();
         let call = gateway.platform.write_rows(&rows);
         if bounded(call, CALL_TIMEOUT).await? == WriteResult::Conflict {
-            // Another node claimed one of them meanwhile: all are read again.
+            // Another node claimed one of the leases in between: all are read again.
             return Err(StoreError::Refused);
         }
-        for new in together {
+        for new in batch {
             gateway.leases.remember(&new.service, &new.lease);
             Event::info("lease_held_ready")
                 .field("service", &new.service)
@@ -113,7 +115,7 @@
     Ok(())
 }
 
-/// Reads all leases; those that this node may take.
+/// Reads all leases; returns the new values of those that this node may take.
 async fn leases_to_write<P: Platform>(
     gateway: &Gateway<P>,
     wanted: &BTreeSet<ServiceName>,
@@ -133,7 +135,8 @@
         let row = rows.rows.iter().find(|row| *row.key == **service);
         let current = row.map(|row| decode_lease(&row.value));
         if current.as_ref().is_some_and(Option::is_none) {
-            // A row that cannot be read may hold any token: none is handed out over it.
+            // A row that cannot be decoded may hold any token, so no token is issued
+            // over it.
             continue;
         }
         let (current, record) = current.flatten().unzip();
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -1,9 +1,9 @@
-//! Has the store keep in which term a service's log was proved to end.
+//! Stores the newest term in which each service's log was proved to end.
 //!
-//! A node that starts knows nothing of earlier promotions. The lease's claims tell it of those
-//! that were ordered with the store; a promotion on a lease held ready, or one that a store
-//! lost when it came back from an older copy, is known to nobody once all nodes that saw it
-//! have ended.
+//! A node that starts knows nothing of earlier promotions. From the claims of the lease
+//! it learns of those that were ordered with the store. A promotion on a lease held
+//! ready, or one that the store lost when it was restored from an older copy, would be
+//! forgotten once all nodes that saw it have ended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,44 +19,44 @@
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
-/// How often terms are looked at that the store did not take, or has lost.
+/// How often terms are retried that the store did not accept or has lost.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// A term, and the era of the store that keeps it; `None` while none does.
+/// A term, and the era of the store in which it is stored; `None` while it is not.
 #[derive(Clone, Copy, Debug)]
-struct Risen {
+struct ProvedTerm {
     term: Term,
-    kept_in: Option<Era>,
+    stored_in: Option<Era>,
 }
 
-/// Has the store keep newer terms of the services whose duty this is. Runs until the process
-/// ends.
+/// Stores newer terms of the services for which this node is the recorder. Runs until
+/// the process ends.
 pub(crate) async fn update_promotion_records<P: Platform>(gateway: Arc<Gateway<P>>) {
-    let mut known: BTreeMap<ServiceName, Risen> = BTreeMap::new();
+    let mut known: BTreeMap<ServiceName, ProvedTerm> = BTreeMap::new();
     loop {
         for (service, term) in gateway.cluster.take_terms_to_store() {
             known.insert(
                 service,
-                Risen {
+                ProvedTerm {
                     term,
-                    kept_in: None,
+                    stored_in: None,
                 },
             );
         }
-        for (service, risen) in &mut known {
+        for (service, proved) in &mut known {
             let era = gateway.store_era.known();
-            if risen.kept_in != Some(era) && is_recorder(&gateway, service) {
-                risen.kept_in = record(&gateway, service, risen.term).await.then_some(era);
+            if proved.stored_in != Some(era) && is_recorder(&gateway, service) {
+                proved.stored_in = record(&gateway, service, proved.term).await.then_some(era);
             }
         }
-        // Time passing is as good a reason to look again as a new term.
+        // Checks again after a new term or a timeout alike.
         let _ = timeout(RETRY_INTERVAL, gateway.cluster.wait_for_term_to_store()).await;
     }
 }
 
-/// Whether this node is the one that has a service's terms kept: the first owner of its
-/// primary's connections, which sees its log, or the first of all nodes where each has its
-/// own.
+/// Whether this node records a service's terms: it is the first owner of its primary's
+/// connections, which sees the log, or first in rank where every node has connections
+/// of its own.
 fn is_recorder<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> bool {
     let primary = gateway.cluster.primary(service);
     let owners = primary.and_then(|it| gateway.pools.owners_of(&it, &gateway.cluster));
@@ -66,12 +66,13 @@
     }
 }
 
+/// Stores a term; returns whether the store holds it or a newer one.
 async fn record<P: Platform>(gateway: &Gateway<P>, service: &ServiceName, term: Term) -> bool {
-    let kept = record_proved_term(gateway, service, term).await;
+    let stored = record_proved_term(gateway, service, term).await;
     Event::info("lead_recorded")
         .field("service", service)
         .field("term", term)
-        .field("is_kept", kept == Ok(true))
+        .field("is_kept", stored == Ok(true))
         .log();
-    kept == Ok(true)
+    stored == Ok(true)
 }
