--- a/crates/linkhold-gateway/src/evidence/mod.rs
+++ b/crates/linkhold-gateway/src/evidence/mod.rs
@@ -1,11 +1,14 @@
-//! What this node can prove about instances, and asks of them.
+//! Evidence about instances, and the requests to them that yield it.
 //!
-//! * [`probe`] decides when a primary is asked how far its log has come, and waits for it;
-//! * [`sharing`] asks the reader that is followed instead, and answers followers;
-//! * [`primary_verification`] makes sure that a primary was not replaced unseen;
-//! * [`survey`] talks to instances: it keeps nothing and decides nothing.
+//! * [`probe`] decides when to ask a primary for its log's position, and waits for the
+//!   answer;
+//! * [`sharing`] asks the reader that this node follows instead, and answers followers;
+//! * [`primary_verification`] verifies that a primary was not replaced without this
+//!   node's knowledge;
+//! * [`survey`] exchanges commands with instances; it has no state and makes no
+//!   decisions.
 //!
-//! What is proved is kept in [`crate::cluster_state`].
+//! [`crate::cluster_state`] holds the evidence.
 
 pub(crate) mod primary_verification;
 pub(crate) mod probe;
--- a/crates/linkhold-gateway/src/evidence/primary_verification.rs
+++ b/crates/linkhold-gateway/src/evidence/primary_verification.rs
@@ -1,9 +1,9 @@
-//! Makes sure that an instance which is believed to lead for its entry alone was not
-//! replaced before this node knew of it.
+//! Verifies that an instance which is considered primary only because it announces that
+//! role was not replaced before this node knew of it.
 //!
-//! Before the first answer of such a primary is told, the instances of its service are asked
-//! once for their terms, and what the store keeps of earlier promotions is looked at
-//! ([`linkhold_core::service::lead`]).
+//! Before the first answer of such a primary is passed on, the instances of its service
+//! are asked once for their terms, and the store's record of earlier promotions is
+//! checked ([`linkhold_core::service::lead`]).
 
 use std::sync::Arc;
 
@@ -20,8 +20,8 @@
 use crate::request::attempt::{NotRunCause, of_checkout};
 use crate::state::UnansweredVerification;
 
-/// Makes sure that `primary` leads, unless that is proved; an error tells why nothing may be
-/// sent to it as one.
+/// Verifies that `primary` was not replaced, unless that is verified already. The error
+/// is the reason why nothing may be sent to it as a primary.
 pub(crate) async fn verify_primary<P: Platform>(
     gateway: &Gateway<P>,
     primary: &Arc<Instance>,
@@ -29,19 +29,19 @@
     if !gateway.cluster.needs_verification(&primary.id) {
         return reject_denied(gateway, primary);
     }
-    let turn = gateway.primary_verifications.turn(&primary.service);
-    let mut last_silent = turn.lock().await;
-    // Somebody else may have asked meanwhile.
+    let slot = gateway.primary_verifications.slot(&primary.service);
+    let mut last_unanswered = slot.lock().await;
+    // Another task may have verified it meanwhile.
     if !gateway.cluster.needs_verification(&primary.id) {
         return reject_denied(gateway, primary);
     }
     if gateway.promotion_records.of(&primary.service).is_none() {
-        // This node is not listed yet: it may speak for no primary anyway.
+        // This node is not listed yet, so it may not acknowledge for any primary.
         return Err(NotRunCause::Refused(BackendErrorKind::Busy));
     }
-    if let Some(cause) = last_silent
+    if let Some(cause) = last_unanswered
         .as_ref()
-        .and_then(UnansweredVerification::present_cause)
+        .and_then(UnansweredVerification::current_cause)
     {
         return Err(cause);
     }
@@ -56,18 +56,19 @@
             Ok(())
         }
         LeadVerdict::Silent => {
-            let cause = look_at_silent(gateway, primary).await;
-            *last_silent = Some(UnansweredVerification::ended(cause));
+            let cause = probe_unanswering(gateway, primary).await;
+            *last_unanswered = Some(UnansweredVerification::ended(cause));
             Err(cause)
         }
         verdict @ (LeadVerdict::Replaced(_) | LeadVerdict::Unknown) => {
-            log_not_proved(primary, &statuses, verdict);
+            log_not_verified(primary, &statuses, verdict);
             gateway.instance_denied_primary(primary);
             Err(NotRunCause::Refused(BackendErrorKind::ReadOnly))
         }
     }
 }
 
+/// Fails if the instance denied being primary.
 fn reject_denied<P: Platform>(gateway: &Gateway<P>, primary: &Instance) -> Result<(), NotRunCause> {
     if gateway.cluster.is_denied(&primary.id) {
         return Err(NotRunCause::Refused(BackendErrorKind::ReadOnly));
@@ -75,8 +76,9 @@
     Ok(())
 }
 
-/// Judges an instance that says it leads by what the instances of its service told and by
-/// what the store keeps, which is read again if it does not tell.
+/// Determines whether an instance that announces being primary was replaced, from the
+/// statuses of its service's instances and the service's promotion record. Reads the
+/// record from the store again if the known one does not decide.
 pub(crate) async fn determine_verdict<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
@@ -99,8 +101,11 @@
     }
 }
 
-/// Why nothing may be sent to an instance that tells no status: it may be busy.
-async fn look_at_silent<P: Platform>(gateway: &Gateway<P>, primary: &Arc<Instance>) -> NotRunCause {
+/// Why nothing may be sent to a primary that returned no status; it may only be busy.
+async fn probe_unanswering<P: Platform>(
+    gateway: &Gateway<P>,
+    primary: &Arc<Instance>,
+) -> NotRunCause {
     if gateway.relays.is_relayed(&primary.id) {
         return NotRunCause::Unreachable;
     }
@@ -120,13 +125,13 @@
     }
 }
 
-fn log_not_proved(primary: &Instance, statuses: &[InstanceStatus], verdict: LeadVerdict) {
-    let told: Vec<&InstanceId> = statuses.iter().map(|status| &status.id).collect();
-    let told: Vec<String> = told.iter().map(ToString::to_string).collect();
+fn log_not_verified(primary: &Instance, statuses: &[InstanceStatus], verdict: LeadVerdict) {
+    let answered: Vec<&InstanceId> = statuses.iter().map(|status| &status.id).collect();
+    let answered: Vec<String> = answered.iter().map(ToString::to_string).collect();
     Event::warn("primary_outdated")
         .field("service", &primary.service)
         .field("instance", &primary.id)
         .field("verdict", format_args!("{verdict:?}"))
-        .field("told_by", told.join(","))
+        .field("told_by", answered.join(","))
         .log();
 }
--- a/crates/linkhold-gateway/src/evidence/probe.rs
+++ b/crates/linkhold-gateway/src/evidence/probe.rs
@@ -1,9 +1,9 @@
-//! Asks primaries how far their logs have come, when reads need to know and
-//! no write has told it.
+//! Asks primaries for the positions of their logs when reads need them and no write has
+//! shown them.
 //!
-//! One question at a time is under way for a service; every read that waits
-//! when it is sent is answered by it. Starting a writing transaction and
-//! rolling it back proves the primary and takes none of its slots.
+//! At most one request at a time is in flight for a service; it serves every read that
+//! waits when it is sent. A write transaction that is begun and rolled back proves the
+//! primary and takes none of its slots.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,11 +24,11 @@
 use crate::ports::{BackendConnection, BackendErrorKind, Command, Platform};
 use crate::request::principal::Principal;
 
-/// How long one question may take.
-const QUESTION_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of a request for evidence.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A position that covers everything acknowledged before `moment`; waits for
-/// it until `deadline`.
+/// Returns a position that covers everything acknowledged before `moment`, or `None` if
+/// none is known by `deadline`.
 pub(crate) async fn fence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
@@ -49,10 +49,10 @@
     }
 }
 
-/// Asks for evidence that covers `moment` unless a question is under way: the
-/// primary itself if this node owns connections to it, or else the reader that
-/// is followed. An owner that asked its reader would be asked back: readers ask
-/// owners.
+/// Requests evidence that covers `moment` in the background, unless a request is in
+/// flight: from the primary if this node owns connections to it, otherwise from the
+/// reader that it follows. An owner that asked its reader would be asked back, since
+/// readers ask owners.
 pub(crate) fn request_evidence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
@@ -77,7 +77,7 @@
     });
 }
 
-/// Whether this node is one of those that own the connections to a primary.
+/// Whether this node is one of the owners of connections to a primary.
 fn owns_primary<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> bool {
     gateway
         .cluster
@@ -86,6 +86,7 @@
         .is_some_and(|owners| owners.includes_self)
 }
 
+/// Requests evidence from the primary, or from an owner of connections to it.
 async fn ask_primary<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
@@ -93,7 +94,7 @@
 ) {
     let started = Instant::now();
     let Some(primary) = gateway.cluster.usable_primary(service, started) else {
-        // The next change of the cluster state asks again.
+        // Waiting reads repeat the request after the next change of the cluster state.
         tokio::time::sleep(Duration::from_millis(20)).await;
         return;
     };
@@ -101,7 +102,7 @@
         && !owners.includes_self
         && let Some(sample) = forward::ask_evidence(gateway, &owners, &primary, moment).await
     {
-        // The owner has proved that it leads.
+        // The owner has verified the primary.
         gateway.cluster.mark_verified(&primary.id);
         gateway.primary_proved(&primary, sample);
         return;
@@ -113,7 +114,7 @@
     {
         return;
     }
-    let deadline = tokio::time::Instant::from_std(started + QUESTION_TIMEOUT);
+    let deadline = tokio::time::Instant::from_std(started + REQUEST_TIMEOUT);
     let pool = gateway.pools.pool(&primary, &gateway.cluster);
     let urgency = Urgency {
         is_read: false,
@@ -122,7 +123,7 @@
     let checkout = pool
         .checkout(
             gateway,
-            // It carries nothing of a request.
+            // The transaction carries no data of a request.
             Principal {
                 holder: &ConnectionHolder::NoTenant,
                 values: &SessionValues::new(),
--- a/crates/linkhold-gateway/src/evidence/sharing.rs
+++ b/crates/linkhold-gateway/src/evidence/sharing.rs
@@ -1,12 +1,12 @@
-//! Evidence of primaries that a follower takes over from its reader, so that
-//! the questions primaries are asked do not grow with the nodes.
+//! Evidence that a follower obtains from its reader, so that the number of requests to
+//! primaries does not grow with the number of nodes.
 //!
 //! # Invariant
 //!
-//! Evidence is never taken to be younger than it is. The reader tells its age
-//! when the question arrived; the follower counts that back from before it
-//! asked, which is earlier. Time on the way, or in a process that was paused,
-//! makes evidence older, never younger.
+//! Evidence is never assumed to be newer than it is. The reader sends its age at the
+//! arrival of the question; the follower subtracts that from the time before it asked,
+//! which is earlier. Time in transit, or in a paused process, makes evidence older,
+//! never newer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,14 +20,15 @@
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
-/// How long the reader may take before the primary is asked directly.
+/// Time that the reader may take to answer before the primary is asked directly.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
-/// Age of evidence that is as good as new: the reader asks the primary no more
-/// often than this for reads that accept old data.
-const FRESH: Duration = Duration::from_millis(300);
+/// Age up to which evidence counts as new: for reads that accept old data, the reader
+/// asks the primary at most once in this time.
+const FRESH_AGE: Duration = Duration::from_millis(300);
 
-/// Asks the reader that is followed for evidence that covers `moment`, or newer
-/// than [`FRESH`] if that is enough; `None` if it has none or none is followed.
+/// Asks the reader that this node follows for evidence that covers `moment`, or that is
+/// newer than [`FRESH_AGE`] if `moment` is older. Returns `None` if the reader has
+/// none, does not answer in time, or this node follows no reader.
 pub(crate) async fn ask_reader<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
@@ -41,7 +42,7 @@
     let question = EvidenceQuestion {
         number,
         service: service.clone(),
-        max_age: asked_at.saturating_duration_since(moment).min(FRESH),
+        max_age: asked_at.saturating_duration_since(moment).min(FRESH_AGE),
     };
     let receiver = gateway.reader_link.ask(question)?;
     let answer = timeout(ANSWER_TIMEOUT, receiver).await;
@@ -53,7 +54,7 @@
     })
 }
 
-/// Answers a follower's question, from what is known or by asking the primary.
+/// Answers a follower's question from known evidence, or after asking the primary.
 pub(crate) async fn answer<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     question: &EvidenceQuestion,
@@ -73,8 +74,8 @@
     }
 }
 
-/// Age of evidence at a moment, rounded up: older than it is, never younger.
-/// Evidence from later is as good as from that moment.
+/// Age of evidence at a moment, rounded up so that it never seems newer than it is.
+/// Evidence from after that moment has age zero.
 fn age_at(moment: Instant, sent_at: Instant) -> Duration {
     let age = moment.saturating_duration_since(sent_at);
     if age.is_zero() {
--- a/crates/linkhold-gateway/src/evidence/survey.rs
+++ b/crates/linkhold-gateway/src/evidence/survey.rs
@@ -1,5 +1,5 @@
-//! Asks instances what they are, on connections of its own: the pool's may all
-//! be stuck on an instance that is silent.
+//! Probes instances and asks for their statuses, on connections of its own: those of
+//! the pool may all be stuck on an instance that does not answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,10 +20,10 @@
     BackendConnection, BackendErrorKind, BackendReply, Command, ConnectError, Platform,
 };
 
-/// How long an instance may take to connect and answer.
+/// Timeout for connecting to an instance and its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Tries to reach an instance as a primary.
+/// Probes whether an instance can be reached as a primary.
 pub(crate) async fn probe_primary<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
@@ -31,7 +31,7 @@
     let sent_at = Instant::now();
     let reply = match probe_write_transaction(gateway, instance).await {
         Ok(reply) => reply,
-        // It lives, and has all the connections it can take.
+        // The instance is up, and has all the connections it can take.
         Err(ConnectError::Rejected) => return Reachability::Reached,
         Err(ConnectError::Closed) if gateway.answered_lately(instance) => {
             return Reachability::Reached;
@@ -41,7 +41,8 @@
     match (reply.error(), reply.position) {
         (Some(BackendErrorKind::ReadOnly), _) => Reachability::NotPrimary,
         (None, Some(position)) => {
-            // One that may have been replaced proves nothing of its service's log.
+            // A primary that may have been replaced proves nothing about its service's
+            // log.
             if !gateway.cluster.needs_verification(&instance.id) {
                 gateway.primary_proved(instance, Sample { sent_at, position });
             }
@@ -51,8 +52,8 @@
     }
 }
 
-/// Begins a writing transaction and rolls it back, which takes no slot; the reply to the
-/// beginning.
+/// Begins a write transaction and rolls it back, which takes no slot; returns the reply
+/// to the begin command.
 pub(crate) async fn probe_write_transaction<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
@@ -64,11 +65,11 @@
         },
         Command::Rollback,
     ];
-    let mut replies = ask(gateway, instance, &commands).await?;
+    let mut replies = run(gateway, instance, &commands).await?;
     Ok(replies.swap_remove(0))
 }
 
-/// The statuses of those instances that answer.
+/// Statuses of the instances that answer.
 pub(crate) async fn statuses<P: Platform>(
     gateway: &Gateway<P>,
     instances: &[Arc<Instance>],
@@ -77,7 +78,7 @@
     join_all(questions).await.into_iter().flatten().collect()
 }
 
-/// The statuses of those instances that answer, directly or through a peer that serves this
+/// Statuses of the instances that answer, directly or through a peer that relays this
 /// node's connections to them.
 pub(crate) async fn statuses_direct_or_relayed<P: Platform>(
     gateway: &Gateway<P>,
@@ -90,34 +91,36 @@
             &AllowedRegions::Everywhere,
         );
         let connecting = async { Ok(connecting.await?.connection) };
-        let replies = ask_over(connecting, &[Command::Status]).await.ok()?;
+        let replies = run_on(connecting, &[Command::Status]).await.ok()?;
         gateway.platform.read_status(&instance.id, &replies[0])
     });
     join_all(questions).await.into_iter().flatten().collect()
 }
 
-/// The status of an instance; `None` if it does not tell it.
+/// The status of an instance; `None` if it does not answer with one.
 pub(crate) async fn status<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
 ) -> Option<InstanceStatus> {
-    let replies = ask(gateway, instance, &[Command::Status]).await.ok()?;
+    let replies = run(gateway, instance, &[Command::Status]).await.ok()?;
     gateway.platform.read_status(&instance.id, &replies[0])
 }
 
-/// Turns a primary into a replica; its status afterwards.
+/// Turns a primary into a replica; returns its status afterwards, if it answers with
+/// one.
 pub(crate) async fn step_down<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
     term: Term,
 ) -> Option<InstanceStatus> {
-    let replies = ask(gateway, instance, &[Command::StepDown { term }])
+    let replies = run(gateway, instance, &[Command::StepDown { term }])
         .await
         .ok()?;
     gateway.platform.read_status(&instance.id, &replies[0])
 }
 
-async fn ask<P: Platform>(
+/// Runs commands on a new direct connection to an instance.
+async fn run<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
     commands: &[Command],
@@ -125,10 +128,11 @@
     let connecting = gateway
         .platform
         .connect(instance, &ConnectionHolder::NoTenant);
-    ask_over(connecting, commands).await
+    run_on(connecting, commands).await
 }
 
-async fn ask_over<C: BackendConnection>(
+/// Runs commands on a connection once it is made.
+async fn run_on<C: BackendConnection>(
     connecting: impl Future<Output = Result<C, ConnectError>>,
     commands: &[Command],
 ) -> Result<Vec<BackendReply>, ConnectError> {
--- a/crates/linkhold-gateway/src/state/primary_verifications.rs
+++ b/crates/linkhold-gateway/src/state/primary_verifications.rs
@@ -1,4 +1,4 @@
-//! Proofs that primaries lead, one round of questions about a service at a time.
+//! Verifications of primaries, one at a time for each service.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -9,11 +9,11 @@
 use crate::cluster_state::lock;
 use crate::request::attempt::NotRunCause;
 
-/// How long a round in which the primary told nothing counts: each asks all instances of the
-/// service, which may have no connection left.
-const SILENCE_LIFE: Duration = Duration::from_millis(250);
+/// Time before a verification that the primary did not answer is repeated: each asks
+/// all instances of the service, which may have no connection left.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// A round in which the primary told nothing.
+/// A verification that the primary did not answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnansweredVerification {
     ended_at: Instant,
@@ -21,7 +21,8 @@
 }
 
 impl UnansweredVerification {
-    /// A round has just ended; why nothing may be sent to the primary.
+    /// Records a verification that has just ended, and why nothing may be sent to the
+    /// primary.
     pub fn ended(cause: NotRunCause) -> Self {
         Self {
             ended_at: Instant::now(),
@@ -29,23 +30,24 @@
         }
     }
 
-    /// Why nothing may be sent to the primary, unless it is time for another round.
-    pub fn present_cause(&self) -> Option<NotRunCause> {
-        (self.ended_at.elapsed() < SILENCE_LIFE).then_some(self.cause)
+    /// Why nothing may be sent to the primary; `None` if it is time for another
+    /// verification.
+    pub fn current_cause(&self) -> Option<NotRunCause> {
+        (self.ended_at.elapsed() < RETRY_PAUSE).then_some(self.cause)
     }
 }
 
-/// A round of questions about a service, which one task at a time holds, and the last one in
-/// which the primary told nothing.
-type Turn = Arc<tokio::sync::Mutex<Option<UnansweredVerification>>>;
+/// Lock that a task holds while it verifies a service's primary, with the last
+/// verification that the primary did not answer.
+type VerificationSlot = Arc<tokio::sync::Mutex<Option<UnansweredVerification>>>;
 
-/// One round of questions about a service at a time.
+/// Limits verifications of primaries to one at a time for each service.
 #[derive(Debug, Default)]
-pub(crate) struct PrimaryVerifications(Mutex<HashMap<ServiceName, Turn>>);
+pub(crate) struct PrimaryVerifications(Mutex<HashMap<ServiceName, VerificationSlot>>);
 
 impl PrimaryVerifications {
-    /// What a round about a service holds while it lasts.
-    pub fn turn(&self, service: &ServiceName) -> Turn {
+    /// The slot to lock while a service's primary is verified.
+    pub fn slot(&self, service: &ServiceName) -> VerificationSlot {
         lock(&self.0).entry(service.clone()).or_default().clone()
     }
 }
--- a/crates/linkhold-gateway/src/state/promotion_records.rs
+++ b/crates/linkhold-gateway/src/state/promotion_records.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of earlier promotions, as it was read last.
+//! The store's records of earlier promotions, as last read.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,24 +8,25 @@
 
 use crate::cluster_state::lock;
 
-/// What the store keeps of earlier promotions; nothing is known until it was read.
+/// The store's records of earlier promotions; `None` until they have been read.
 #[derive(Debug, Default)]
 pub(crate) struct PromotionRecords(Mutex<Option<HashMap<ServiceName, LeadRecord>>>);
 
 impl PromotionRecords {
-    /// All records were read.
+    /// Replaces all records by those that were read.
     pub fn replace(&self, records: &[(ServiceName, LeadRecord)]) {
         *lock(&self.0) = Some(records.iter().cloned().collect());
     }
 
-    /// The record of a service was read.
+    /// Updates the record of a service, once all records have been read.
     pub fn update(&self, service: &ServiceName, record: LeadRecord) {
         if let Some(known) = &mut *lock(&self.0) {
             known.insert(service.clone(), record);
         }
     }
 
-    /// The record of a service, which may be empty; `None` if none were read.
+    /// The record of a service, which may be empty; `None` if no records have been
+    /// read.
     pub fn of(&self, service: &str) -> Option<LeadRecord> {
         let known = lock(&self.0);
         let records = known.as_ref()?;
