--- a/crates/linkhold-gateway/src/confirmation.rs
+++ b/crates/linkhold-gateway/src/confirmation.rs
@@ -1,7 +1,8 @@
-//! Lets a node go on while nobody renews its registration: the other nodes confirm
-//! that no primary is about to be replaced without its consent.
+//! Lets a node keep acknowledging while its registration is not renewed: the other
+//! nodes confirm that no primary is about to be replaced without its consent.
 //!
-//! Only nodes that would read the store ask; a follower is told by its reader.
+//! Only nodes that read the store ask for confirmations; a follower receives them from
+//! its reader.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,32 +16,32 @@
 use crate::ports::Platform;
 use crate::state::Confirmation;
 
-/// How often confirmations are asked for: a lost one is made up for before a
-/// permission that rests on them has run out.
+/// Interval between requests for confirmations: short enough to repeat a lost one
+/// before the permission that rests on them expires.
 pub(crate) const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(700);
-/// How long answers are waited for.
+/// Time to wait for answers.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often it is looked whether confirmations are needed.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// Subjects that an answer names, at the most: it has to fit one datagram. Whoever
-/// has agreed to more confirms nothing.
-const MOST_SUBJECTS: usize = 12;
+/// How often this node checks whether it needs confirmations.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of subjects in an answer, which has to fit into one datagram. A node
+/// that has agreed to more confirms nothing.
+const MAX_SUBJECTS: usize = 12;
 
-/// This node's answer to a question for a confirmation.
+/// Answers a request for a confirmation.
 pub(crate) fn answer<P: Platform>(gateway: &Gateway<P>, number: u64) -> ReachabilityMessage {
     let agreed = gateway.cluster.permission.confirm();
     ReachabilityMessage::ConfirmationAnswer {
         number,
-        agreed: agreed.filter(|subjects| subjects.len() <= MOST_SUBJECTS),
+        agreed: agreed.filter(|subjects| subjects.len() <= MAX_SUBJECTS),
     }
 }
 
-/// Asks for confirmations while they are needed. Runs until the process ends.
+/// Requests confirmations while they are needed. Runs until the process ends.
 pub(crate) async fn keep_confirmed<P: Platform>(gateway: Arc<Gateway<P>>) {
     loop {
         let asks = !gateway.sources.is_following();
         if !asks || !gateway.cluster.permission.needs_confirmation() {
-            sleep(LOOK_INTERVAL).await;
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
         let asked_at = Instant::now();
@@ -53,8 +54,8 @@
     }
 }
 
-/// Whether enough of all nodes, this one included, have agreed to no replacement of
-/// which this one does not know.
+/// Whether enough nodes, this one included, have agreed to no replacement that this
+/// node does not know of.
 async fn is_confirmed<P: Platform>(gateway: &Gateway<P>) -> bool {
     let Some(needed) = confirmations_needed(gateway.fleet.largest_size_lately()) else {
         return false;
@@ -66,7 +67,7 @@
     let mut answers = gateway.peers.confirmations.asked(number);
     let mut pending = gateway.fleet.peers(&gateway.settings.node);
     let question = ReachabilityMessage::ConfirmationQuestion { number };
-    // A lost question is made up for by the next one.
+    // If the question is lost, the next round repeats it.
     peers::send(&socket, &pending, &encode_reachability(&question, &key)).await;
     let deadline = tokio::time::Instant::now() + ANSWER_TIMEOUT;
     let mut confirmed = 1;
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -1,4 +1,4 @@
-//! What a node takes note of when an instance fails, refuses or keeps silent.
+//! Records failures, refusals and timeouts of instances.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 use crate::ports::{BackendErrorKind, ConnectError, Platform};
 
 impl<P: Platform> Gateway<P> {
-    /// A connection to an instance could not be made.
+    /// Records that a connection to an instance could not be made.
     pub(crate) fn connect_failed(&self, instance: &Instance, error: ConnectError) {
         match error {
             ConnectError::Unreachable => self.instance_failed(instance, "unreachable"),
@@ -24,8 +24,8 @@
         }
     }
 
-    /// A connection broke. Its instance may still be well; the next attempt to
-    /// connect tells. A primary is looked at right away.
+    /// Records that a connection broke. The instance may still be healthy; the next
+    /// attempt to connect will show. A primary is checked at once.
     pub(crate) fn connection_lost(&self, instance: &Instance) {
         self.warm_ups.doubted(&instance.id);
         let is_primary = self
@@ -37,9 +37,9 @@
         }
     }
 
-    /// An instance refused a statement.
+    /// Records that an instance refused a statement.
     pub(crate) fn note_refusal(&self, instance: &Instance, kind: BackendErrorKind) {
-        /// How long an instance without room is passed over.
+        /// Time for which an instance without free capacity gets no statements.
         const BUSY_PAUSE: Duration = Duration::from_millis(40);
         let now = Instant::now();
         match kind {
@@ -59,14 +59,15 @@
         }
     }
 
-    /// A statement got no answer in time.
+    /// Records that a statement got no answer in time.
     pub(crate) fn statement_timed_out(&self, instance: &Instance, sent_at: Instant) {
         if !self.answered_since(instance, sent_at) {
             self.instance_failed(instance, "silent");
         }
     }
 
-    /// A statement has waited unusually long.
+    /// Has a primary checked if a statement has waited unusually long for it, and it
+    /// has answered nothing since.
     pub(crate) fn suspect_if_primary_is_silent(&self, instance: &Instance, sent_at: Instant) {
         let is_primary = self
             .cluster
@@ -77,17 +78,17 @@
         }
     }
 
-    /// Whether an instance has answered on some connection a moment ago, so
-    /// that one it closed at once was one too many.
+    /// Whether an instance has recently answered on any connection. If it has, a
+    /// connection that it closed at once exceeded its limit.
     pub(crate) fn answered_lately(&self, instance: &Instance) -> bool {
-        /// How long an answer tells that an instance lives.
+        /// Time for which an answer shows that an instance is up.
         const ALIVE_TIME: Duration = Duration::from_millis(600);
         Instant::now()
             .checked_sub(ALIVE_TIME)
             .is_some_and(|moment| self.answered_since(instance, moment))
     }
 
-    /// Whether an instance has answered on some connection since a moment.
+    /// Whether an instance has answered on any connection since a moment.
     pub(crate) fn answered_since(&self, instance: &Instance, moment: Instant) -> bool {
         self.cluster
             .read_health(&instance.id, |health| health.last_success())
--- a/crates/linkhold-gateway/src/watchers.rs
+++ b/crates/linkhold-gateway/src/watchers.rs
@@ -1,4 +1,4 @@
-//! The watchers of services, as this node sees the fleet.
+//! The nodes that watch each service, as this node knows the fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,17 +11,18 @@
 
 use crate::cluster_state::lock;
 
-/// Who watches a service.
+/// The nodes that watch a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ServiceWatchers {
-    /// This node does.
+    /// Whether this node is one of them.
     pub includes_self: bool,
-    /// The others that do.
+    /// Addresses of the other watchers.
     pub others: Vec<SocketAddr>,
 }
 
+/// A node that can be chosen as a watcher.
 #[derive(Debug)]
-struct Known {
+struct KnownNode {
     id: NodeId,
     zone: String,
     address: SocketAddr,
@@ -29,20 +30,20 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Nodes that can be asked.
-    nodes: Vec<Known>,
+    /// Nodes that have an address for questions.
+    nodes: Vec<KnownNode>,
     by_service: HashMap<ServiceName, Arc<ServiceWatchers>>,
 }
 
-/// Knows the watchers of every service.
+/// The watchers of every service; chosen on first use, until the nodes change.
 #[derive(Debug, Default)]
 pub(crate) struct Watchers(Mutex<State>);
 
 impl Watchers {
-    /// Takes in the nodes of the fleet.
+    /// Replaces the nodes of the fleet.
     pub fn set_nodes<'a>(&self, nodes: impl Iterator<Item = &'a FeedNode>) {
         let known = nodes.filter_map(|node| {
-            Some(Known {
+            Some(KnownNode {
                 id: NodeId::of_name(&node.name),
                 zone: node.zone.clone(),
                 address: node.address?,
@@ -53,7 +54,7 @@
         state.by_service.clear();
     }
 
-    /// The watchers of a service; `None` where every node watches.
+    /// The watchers of a service; `None` if every node watches it.
     pub fn of(&self, own_name: &str, service: &ServiceName) -> Option<Arc<ServiceWatchers>> {
         let mut state = lock(&self.0);
         if state.nodes.len() <= ALL_WATCH {
@@ -65,7 +66,7 @@
         let nodes = state.nodes.iter().map(|node| (node.id, node.zone.as_str()));
         let chosen = watchers::choose(service, nodes);
         let own = NodeId::of_name(own_name);
-        let is_other = |node: &&Known| node.id != own && chosen.contains(&node.id);
+        let is_other = |node: &&KnownNode| node.id != own && chosen.contains(&node.id);
         let found = Arc::new(ServiceWatchers {
             includes_self: chosen.contains(&own),
             others: state
