--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -51,7 +51,7 @@
     /// The latest moment as of which the list of instances is known to be complete.
     directory_as_of: Option<Instant>,
     evacuations: Evacuations,
-    /// Entries whose absence counted when that was looked at last.
+    /// Number of entries whose absence counted at the last check.
     absent: usize,
 }
 
