--- a/crates/linkhold-gateway/src/evidence/probe.rs
+++ b/crates/linkhold-gateway/src/evidence/probe.rs
@@ -1,9 +1,9 @@
-//! Asks primaries how far their logs have come, when reads need to know and
-//! no write has told it.
+//! Asks primaries for the positions of their logs when reads need them and no write has
+//! shown them.
 //!
-//! One question at a time is under way for a service; every read that waits
-//! when it is sent is answered by it. Starting a writing transaction and
-//! rolling it back proves the primary and takes none of its slots.
+//! At most one request at a time is in flight for a service; it serves every read that
+//! waits when it is sent. A write transaction that is begun and rolled back proves the
+//! primary and takes none of its slots.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 use linkhold_core::tenancy::ConnectionHolder;
 use tokio::time::timeout_at;
 
-use crate::evidence::lead_proof;
+use crate::evidence::primary_verification;
 use crate::evidence::sharing;
 use crate::forward;
 use crate::gate::Urgency;
@@ -24,24 +24,24 @@
 use crate::ports::{BackendConnection, BackendErrorKind, Command, Platform};
 use crate::request::principal::Principal;
 
-/// How long one question may take.
-const QUESTION_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of a request for evidence.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A position that covers everything acknowledged before `moment`; waits for
-/// it until `deadline`.
+/// Returns a position that covers everything acknowledged before `moment`, or `None` if
+/// none is known by `deadline`.
 pub(crate) async fn fence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
     moment: Instant,
     deadline: Instant,
 ) -> Option<Position> {
-    let mut changes = gateway.beliefs.subscribe();
+    let mut changes = gateway.cluster.subscribe();
     loop {
         changes.mark_unchanged();
-        if let Some(position) = gateway.beliefs.fence(service, moment) {
+        if let Some(position) = gateway.cluster.fence(service, moment) {
             return Some(position);
         }
-        ask_in_background(gateway, service, moment);
+        request_evidence(gateway, service, moment);
         timeout_at(deadline.into(), changes.changed())
             .await
             .ok()?
@@ -49,11 +49,11 @@
     }
 }
 
-/// Asks for evidence that covers `moment` unless a question is under way: the
-/// primary itself if this node owns connections to it, or else the reader that
-/// is followed. An owner that asked its reader would be asked back: readers ask
-/// owners.
-pub(crate) fn ask_in_background<P: Platform>(
+/// Requests evidence that covers `moment` in the background, unless a request is in
+/// flight: from the primary if this node owns connections to it, otherwise from the
+/// reader that it follows. An owner that asked its reader would be asked back, since
+/// readers ask owners.
+pub(crate) fn request_evidence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
     moment: Instant,
@@ -70,48 +70,52 @@
             sharing::ask_reader(&gateway, &service, moment).await
         };
         match shared {
-            Some(sample) => gateway.beliefs.record_evidence(&service, sample),
+            Some(sample) => gateway.cluster.record_evidence(&service, sample),
             None => ask_primary(&gateway, &service, moment).await,
         }
         gateway.questions.end(&service);
     });
 }
 
-/// Whether this node is one of those that own the connections to a primary.
+/// Whether this node is one of the owners of connections to a primary.
 fn owns_primary<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> bool {
     gateway
-        .beliefs
+        .cluster
         .primary(service)
-        .and_then(|primary| gateway.pools.designated_owners(&primary, &gateway.beliefs))
+        .and_then(|primary| gateway.pools.designated_owners(&primary, &gateway.cluster))
         .is_some_and(|owners| owners.includes_self)
 }
 
+/// Requests evidence from the primary, or from an owner of connections to it.
 async fn ask_primary<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &ServiceName,
     moment: Instant,
 ) {
     let started = Instant::now();
-    let Some(primary) = gateway.beliefs.usable_primary(service, started) else {
-        // The next change of beliefs asks again.
+    let Some(primary) = gateway.cluster.usable_primary(service, started) else {
+        // Waiting reads repeat the request after the next change of the cluster state.
         tokio::time::sleep(Duration::from_millis(20)).await;
         return;
     };
-    if let Some(owners) = gateway.pools.designated_owners(&primary, &gateway.beliefs)
+    if let Some(owners) = gateway.pools.designated_owners(&primary, &gateway.cluster)
         && !owners.includes_self
         && let Some(sample) = forward::ask_evidence(gateway, &owners, &primary, moment).await
     {
-        // The owner has proved that it leads.
-        gateway.beliefs.prove_lead(&primary.id);
+        // The owner has verified the primary.
+        gateway.cluster.mark_verified(&primary.id);
         gateway.primary_proved(&primary, sample);
         return;
     }
     gateway.metrics.evidence_probes.add();
-    if lead_proof::prove(gateway, &primary).await.is_err() {
+    if primary_verification::verify_primary(gateway, &primary)
+        .await
+        .is_err()
+    {
         return;
     }
-    let deadline = tokio::time::Instant::from_std(started + QUESTION_TIMEOUT);
-    let pool = gateway.pools.pool(&primary, &gateway.beliefs);
+    let deadline = tokio::time::Instant::from_std(started + REQUEST_TIMEOUT);
+    let pool = gateway.pools.pool(&primary, &gateway.cluster);
     let urgency = Urgency {
         is_read: false,
         priority: 0,
@@ -119,7 +123,7 @@
     let checkout = pool
         .checkout(
             gateway,
-            // It carries nothing of a request.
+            // The transaction carries no data of a request.
             Principal {
                 holder: &ConnectionHolder::NoTenant,
                 values: &SessionValues::new(),
@@ -132,7 +136,7 @@
     let Ok(mut lease) = checkout else {
         return;
     };
-    let proved = gateway.beliefs.newest_position(service);
+    let proved = gateway.cluster.newest_position(service);
     let sent_at = Instant::now();
     let commands = [
         Command::Begin {
@@ -157,6 +161,6 @@
             lease.release();
         }
         Ok(Err(_)) => gateway.connection_lost(&primary),
-        Err(_) => gateway.instance_silent(&primary, sent_at),
+        Err(_) => gateway.statement_timed_out(&primary, sent_at),
     }
 }
--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -232,7 +232,7 @@
                 CallEnd::Attempt(Attempt::TimedOut)
             }
             Err(CallFailure::NoAnswer) => {
-                self.gateway.instance_silent(self.instance, sent_at);
+                self.gateway.statement_timed_out(self.instance, sent_at);
                 CallEnd::Attempt(Attempt::TimedOut)
             }
         }
@@ -299,7 +299,7 @@
                 Attempt::Lost
             }
             ForwardOutcome::TimedOut => {
-                gateway.instance_silent(self.instance, sent_at);
+                gateway.statement_timed_out(self.instance, sent_at);
                 Attempt::TimedOut
             }
         })
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -21,7 +21,7 @@
 
 use super::link::read_forward;
 use super::{session_values, translate};
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 use crate::evidence::sharing;
 use crate::feed::framing::framed;
 use crate::gate::Urgency;
@@ -111,7 +111,7 @@
     let mut ticks = interval(RECLAIM_INTERVAL);
     loop {
         ticks.tick().await;
-        let configuration = gateway.beliefs.configuration();
+        let configuration = gateway.cluster.configuration();
         let limit = configuration.and_then(|it| it.transaction_idle_timeout);
         lent.reclaim_idle(limit.unwrap_or_default() + EXTRA_IDLE_TIME);
     }
@@ -139,7 +139,7 @@
             instance,
         } => {
             let is_known_primary = |id: &String| {
-                let primary = gateway.beliefs.primary(&service);
+                let primary = gateway.cluster.primary(&service);
                 primary.is_some_and(|primary| *primary.id.0 == **id)
             };
             if !instance.as_ref().is_none_or(is_known_primary) {
@@ -206,7 +206,7 @@
     statement: &ForwardStatement,
 ) -> ForwardOutcome {
     let id = InstanceId(statement.instance.as_str().into());
-    let Some(instance) = gateway.beliefs.instance(&id) else {
+    let Some(instance) = gateway.cluster.instance(&id) else {
         return ForwardOutcome::NotOwner;
     };
     if gateway.is_leaving() || !takes_statements_for(gateway, &instance) {
@@ -248,7 +248,7 @@
 /// Whether this node takes statements for an instance: it is an owner, or all nodes
 /// hold connections.
 fn takes_statements_for<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
-    let owners = gateway.pools.designated_owners(instance, &gateway.beliefs);
+    let owners = gateway.pools.designated_owners(instance, &gateway.cluster);
     owners.is_none_or(|owners| owners.includes_self)
 }
 
--- a/crates/linkhold-gateway/src/lease_format.rs
+++ b/crates/linkhold-gateway/src/lease_format.rs
@@ -15,7 +15,7 @@
 use linkhold_core::service::store_revision::Era;
 use serde::{Deserialize, Serialize};
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 #[derive(Serialize, Deserialize)]
 struct LeaseRow {
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -1,4 +1,4 @@
-//! What a node takes note of when an instance fails, refuses or keeps silent.
+//! Records failures, refusals and timeouts of instances.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 use crate::ports::{BackendErrorKind, ConnectError, Platform};
 
 impl<P: Platform> Gateway<P> {
-    /// A connection to an instance could not be made.
+    /// Records that a connection to an instance could not be made.
     pub(crate) fn connect_failed(&self, instance: &Instance, error: ConnectError) {
         match error {
             ConnectError::Unreachable => self.instance_failed(instance, "unreachable"),
@@ -24,12 +24,12 @@
         }
     }
 
-    /// A connection broke. Its instance may still be well; the next attempt to
-    /// connect tells. A primary is looked at right away.
+    /// Records that a connection broke. The instance may still be healthy; the next
+    /// attempt to connect will show. A primary is checked at once.
     pub(crate) fn connection_lost(&self, instance: &Instance) {
         self.warm_ups.suspect_restart(&instance.id);
         let is_primary = self
-            .beliefs
+            .cluster
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         if is_primary {
@@ -37,19 +37,19 @@
         }
     }
 
-    /// An instance refused a statement.
+    /// Records that an instance refused a statement.
     pub(crate) fn note_refusal(&self, instance: &Instance, kind: BackendErrorKind) {
-        /// How long an instance without room is passed over.
+        /// Time for which an instance without free capacity gets no statements.
         const BUSY_PAUSE: Duration = Duration::from_millis(40);
         let now = Instant::now();
         match kind {
             BackendErrorKind::ReadOnly => self.instance_denied_primary(instance),
             BackendErrorKind::Busy | BackendErrorKind::TooManyConnections => self
-                .beliefs
-                .observe(&instance.id, |health| health.record_busy(now, BUSY_PAUSE)),
+                .cluster
+                .update_health(&instance.id, |health| health.record_busy(now, BUSY_PAUSE)),
             BackendErrorKind::Lagging => self
-                .beliefs
-                .observe(&instance.id, |health| health.record_lag(now)),
+                .cluster
+                .update_health(&instance.id, |health| health.record_lag(now)),
             BackendErrorKind::WrongInstance => {
                 self.instance_failed(instance, "address_used_by_another");
             }
@@ -59,17 +59,18 @@
         }
     }
 
-    /// A statement got no answer in time.
-    pub(crate) fn instance_silent(&self, instance: &Instance, sent_at: Instant) {
+    /// Records that a statement got no answer in time.
+    pub(crate) fn statement_timed_out(&self, instance: &Instance, sent_at: Instant) {
         if !self.answered_since(instance, sent_at) {
             self.instance_failed(instance, "silent");
         }
     }
 
-    /// A statement has waited unusually long.
-    pub(crate) fn look_at_silent(&self, instance: &Instance, sent_at: Instant) {
+    /// Has a primary checked if a statement has waited unusually long for it, and it
+    /// has answered nothing since.
+    pub(crate) fn suspect_if_primary_is_silent(&self, instance: &Instance, sent_at: Instant) {
         let is_primary = self
-            .beliefs
+            .cluster
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         if is_primary && !self.answered_since(instance, sent_at) {
@@ -77,20 +78,20 @@
         }
     }
 
-    /// Whether an instance has answered on some connection a moment ago, so
-    /// that one it closed at once was one too many.
+    /// Whether an instance has recently answered on any connection. If it has, a
+    /// connection that it closed at once exceeded its limit.
     pub(crate) fn answered_lately(&self, instance: &Instance) -> bool {
-        /// How long an answer tells that an instance lives.
+        /// Time for which an answer shows that an instance is up.
         const ALIVE_TIME: Duration = Duration::from_millis(600);
         Instant::now()
             .checked_sub(ALIVE_TIME)
             .is_some_and(|moment| self.answered_since(instance, moment))
     }
 
-    /// Whether an instance has answered on some connection since a moment.
+    /// Whether an instance has answered on any connection since a moment.
     pub(crate) fn answered_since(&self, instance: &Instance, moment: Instant) -> bool {
-        self.beliefs
-            .inspect(&instance.id, |health| health.last_success())
+        self.cluster
+            .read_health(&instance.id, |health| health.last_success())
             .flatten()
             .is_some_and(|at| at >= moment)
     }
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -10,7 +10,7 @@
 use linkhold_core::service::connection_share::{self, Share};
 use linkhold_core::service::instance::{Instance, InstanceId};
 
-use crate::beliefs::{Beliefs, lock};
+use crate::cluster_state::{ClusterState, lock};
 use crate::owners::{InstanceOwners, Owners};
 use crate::pool::Pool;
 use crate::ports::BackendConnection;
@@ -49,11 +49,11 @@
     }
 
     /// The pool of an instance, created on first use.
-    pub fn pool(&self, instance: &Arc<Instance>, beliefs: &Beliefs) -> Arc<Pool<C>> {
+    pub fn pool(&self, instance: &Arc<Instance>, cluster: &ClusterState) -> Arc<Pool<C>> {
         if let Some(pool) = lock(&self.pools).get(&instance.id) {
             return pool.clone();
         }
-        let share = self.share(instance, beliefs);
+        let share = self.share(instance, cluster);
         let pool = Arc::new(Pool::new(instance.clone(), share));
         lock(&self.pools).insert(instance.id.clone(), pool.clone());
         pool
@@ -64,9 +64,9 @@
     pub(crate) fn designated_owners(
         &self,
         instance: &Instance,
-        beliefs: &Beliefs,
+        cluster: &ClusterState,
     ) -> Option<Arc<InstanceOwners>> {
-        let limits = beliefs.limits(&instance.service);
+        let limits = cluster.limits(&instance.service);
         let limit = connection_limit(limits);
         let nodes = self.nodes.load(Ordering::Relaxed);
         // Only owners know whether an instance is warm.
@@ -83,10 +83,10 @@
         &self.owners
     }
 
-    fn share(&self, instance: &Instance, beliefs: &Beliefs) -> Share {
-        let limit = connection_limit(beliefs.limits(&instance.service));
+    fn share(&self, instance: &Instance, cluster: &ClusterState) -> Share {
+        let limit = connection_limit(cluster.limits(&instance.service));
         let nodes = self.nodes.load(Ordering::Relaxed);
-        let Some(owners) = self.designated_owners(instance, beliefs) else {
+        let Some(owners) = self.designated_owners(instance, cluster) else {
             let has_just_started = self.started_at.elapsed() < PREVIOUS_CONNECTIONS_TIME;
             return connection_share::equal(limit, nodes, has_just_started);
         };
@@ -99,18 +99,18 @@
     }
 
     /// Sets the number of nodes and recomputes all shares.
-    pub fn set_node_count(&self, nodes: usize, beliefs: &Beliefs) {
+    pub fn set_node_count(&self, nodes: usize, cluster: &ClusterState) {
         self.nodes.store(nodes, Ordering::Relaxed);
-        self.refresh_shares(beliefs);
+        self.refresh_shares(cluster);
     }
 
     /// Recomputes all shares: limits may have changed, or the node may no longer count as
     /// just started.
-    pub fn refresh_shares(&self, beliefs: &Beliefs) {
+    pub fn refresh_shares(&self, cluster: &ClusterState) {
         self.is_crowded.store(false, Ordering::Relaxed);
         let pools: Vec<Arc<Pool<C>>> = lock(&self.pools).values().cloned().collect();
         for pool in pools {
-            pool.set_share(self.share(pool.instance(), beliefs));
+            pool.set_share(self.share(pool.instance(), cluster));
         }
     }
 
--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -134,7 +134,7 @@
     let Some(_guard) = gateway.relays.start_relay() else {
         return;
     };
-    let Some(instance) = gateway.beliefs.instance(id) else {
+    let Some(instance) = gateway.cluster.instance(id) else {
         return;
     };
     if gateway.is_leaving() || is_relaying_forbidden(gateway, &instance) {
@@ -163,17 +163,17 @@
 /// Whether nothing may be relayed to an instance any more: this node has agreed to
 /// acknowledge nothing that it commits, or its zone is evacuated.
 fn is_relaying_forbidden<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
-    let beliefs = &gateway.beliefs;
+    let cluster = &gateway.cluster;
     // The asking node checks the regions of its requests.
     let everywhere = AllowedRegions::Everywhere;
-    beliefs.is_withheld(&instance.id)
-        || beliefs
+    cluster.is_withheld(&instance.id)
+        || cluster
             .eligibility(instance, &everywhere, StatementBinding::Bound)
             .is_err()
 }
 
 async fn until_forbidden<P: Platform>(gateway: &Gateway<P>, instance: &Instance) {
-    let mut changes = gateway.beliefs.subscribe();
+    let mut changes = gateway.cluster.subscribe();
     while !is_relaying_forbidden(gateway, instance) {
         // An evacuated zone becomes ineligible as time passes, without a change.
         let _ = timeout(FORBIDDEN_CHECK_INTERVAL, changes.changed()).await;
@@ -183,12 +183,12 @@
 /// Tries to connect directly to instances whose connections are relayed.
 pub(crate) fn try_direct_connections<P: Platform>(gateway: &Arc<Gateway<P>>) {
     for id in gateway.relays.due_for_direct_attempt() {
-        let Some(instance) = gateway.beliefs.instance(&id) else {
+        let Some(instance) = gateway.cluster.instance(&id) else {
             continue;
         };
         let gateway = gateway.clone();
         tokio::spawn(async move {
-            let found = survey::reach_primary(&gateway, &instance).await;
+            let found = survey::probe_primary(&gateway, &instance).await;
             if found != Reachability::Unreached && gateway.relays.forget(&id) {
                 Event::info("relay_ended").field("instance", &id).log();
             }
--- a/crates/linkhold-gateway/src/request/conversation.rs
+++ b/crates/linkhold-gateway/src/request/conversation.rs
@@ -42,7 +42,7 @@
     match exchanged {
         None => {
             lease.suspect_used_before(sent_at.into());
-            gateway.instance_silent(&instance, sent_at);
+            gateway.statement_timed_out(&instance, sent_at);
             Conversation::Silent
         }
         Some(Err(error)) => {
@@ -66,8 +66,8 @@
 impl<'a, P: Platform> InFlight<'a, P> {
     pub fn start(gateway: &'a Gateway<P>, instance: &Arc<Instance>) -> Self {
         gateway
-            .beliefs
-            .observe(&instance.id, |health| health.begin());
+            .cluster
+            .update_health(&instance.id, |health| health.begin());
         Self {
             gateway,
             instance: instance.clone(),
@@ -78,8 +78,8 @@
 impl<P: Platform> Drop for InFlight<'_, P> {
     fn drop(&mut self) {
         self.gateway
-            .beliefs
-            .observe(&self.instance.id, |health| health.end());
+            .cluster
+            .update_health(&self.instance.id, |health| health.end());
     }
 }
 
@@ -98,7 +98,7 @@
     if look_at < answer_by {
         tokio::select! {
             replies = &mut exchange => return Some(replies),
-            () = sleep_until(look_at.into()) => gateway.look_at_silent(&instance, sent_at),
+            () = sleep_until(look_at.into()) => gateway.suspect_if_primary_is_silent(&instance, sent_at),
         }
     }
     timeout_at(answer_by.into(), exchange).await.ok()
@@ -106,8 +106,8 @@
 
 fn silence_limit<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> Duration {
     let usual = gateway
-        .beliefs
-        .inspect(&instance.id, |health| health.latency())
+        .cluster
+        .read_health(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
     LEAST_SILENCE.max(usual * SILENCE_LATENCIES)
--- a/crates/linkhold-gateway/src/state/lead_records.rs
+++ b/crates/linkhold-gateway/src/state/promotion_records.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of earlier promotions, as it was read last.
+//! The store's records of earlier promotions, as last read.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -6,26 +6,27 @@
 use linkhold_core::service::configuration::ServiceName;
 use linkhold_core::service::primary_verification::PromotionRecord;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
-/// What the store keeps of earlier promotions; nothing is known until it was read.
+/// The store's records of earlier promotions; `None` until they have been read.
 #[derive(Debug, Default)]
-pub(crate) struct LeadRecords(Mutex<Option<HashMap<ServiceName, PromotionRecord>>>);
+pub(crate) struct PromotionRecords(Mutex<Option<HashMap<ServiceName, PromotionRecord>>>);
 
-impl LeadRecords {
-    /// All records were read.
+impl PromotionRecords {
+    /// Replaces all records by those that were read.
     pub fn replace(&self, records: &[(ServiceName, PromotionRecord)]) {
         *lock(&self.0) = Some(records.iter().cloned().collect());
     }
 
-    /// The record of a service was read.
+    /// Updates the record of a service, once all records have been read.
     pub fn update(&self, service: &ServiceName, record: PromotionRecord) {
         if let Some(known) = &mut *lock(&self.0) {
             known.insert(service.clone(), record);
         }
     }
 
-    /// The record of a service, which may be empty; `None` if none were read.
+    /// The record of a service, which may be empty; `None` if no records have been
+    /// read.
     pub fn of(&self, service: &str) -> Option<PromotionRecord> {
         let known = lock(&self.0);
         let records = known.as_ref()?;
--- a/crates/linkhold-gateway/src/state/relays.rs
+++ b/crates/linkhold-gateway/src/state/relays.rs
@@ -10,7 +10,7 @@
 use linkhold_core::service::regions::{AllowedRegions, RegionName};
 use rand::seq::IndexedRandom;
 
-use crate::beliefs::lock;
+use crate::cluster_state::lock;
 
 /// How long the peers of an instance stay in use after a connection through one was made.
 const PATH_LIFETIME: Duration = Duration::from_millis(3_000);
