--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -25,8 +25,8 @@
 use tokio::sync::{Notify, watch};
 
 use crate::permission::OwnPermission;
-use crate::places::Places;
 use crate::settings::GatewaySettings;
+use crate::zone_map::ZoneMap;
 
 /// Part of the drain time in which a leaving instance may get new work, in
 /// percent.
@@ -55,7 +55,7 @@
 /// Everything a node believes.
 #[derive(Debug)]
 pub struct Beliefs {
-    places: Places,
+    zone_map: ZoneMap,
     drain: Duration,
     /// How soon nothing may be sent to an evacuated zone any more.
     evacuation_bound: Duration,
@@ -85,7 +85,7 @@
     /// Nothing is known.
     pub fn new(settings: &GatewaySettings) -> Self {
         Self {
-            places: settings.places.clone(),
+            zone_map: settings.zone_map.clone(),
             drain: settings.drain,
             evacuation_bound: settings.evacuation_bound,
             first_started_at: settings.is_first_start.then(Instant::now),
@@ -408,7 +408,7 @@
     }
 
     fn distance(&self, instance: &Instance) -> Distance {
-        self.places.distance(&instance.zone)
+        self.zone_map.distance(&instance.zone)
     }
 
     /// Updates what traffic tells of an instance.
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/beliefs/eligibility.rs
@@ -25,7 +25,7 @@
 
     /// Logs what routes and tenants are bound to and no zone of the settings lies in.
     fn log_unknown_regions(&self, configuration: &Configuration) {
-        let known: HashSet<&RegionName> = self.places.regions.values().collect();
+        let known: HashSet<&RegionName> = self.zone_map.regions.values().collect();
         let routes = configuration.routes.iter();
         let of_routes = routes.map(|(database, route)| ("route", database, &route.regions));
         let tenants = configuration.tenancy.iter().flat_map(|it| it.tenants());
@@ -90,7 +90,7 @@
         };
         event
             .field("zone", zone)
-            .field("is_known", self.places.regions.contains_key(zone))
+            .field("is_known", self.zone_map.regions.contains_key(zone))
             .field("instances", self.instances_in(zone))
             .field("as_of", as_of)
             .log();
@@ -167,7 +167,7 @@
         let zone = instances.evacuations.state(&instance.zone, Instant::now());
         let standing = Standing {
             is_in_regions: !regions.is_bound()
-                || regions.permits(&self.places.region(&instance.zone)),
+                || regions.permits(&self.zone_map.region(&instance.zone)),
             zone,
         };
         eligibility::check(standing, engagement)
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -97,15 +97,18 @@
             .field("peers", peers.len())
             .log();
     }
-    let places = &gateway.settings.places;
+    let zone_map = &gateway.settings.zone_map;
     let relay_peer = |address: SocketAddr| RelayPeer {
         address,
         // One that has joined unseen may stand anywhere: no bound permits the empty
         // name.
-        region: gateway.fleet.region_of(address, places).unwrap_or_default(),
+        region: gateway
+            .fleet
+            .region_of(address, zone_map)
+            .unwrap_or_default(),
     };
     let relay_peers = peers.into_iter().map(relay_peer).collect();
-    let instance_region = places.region(&primary.zone);
+    let instance_region = zone_map.region(&primary.zone);
     gateway
         .relays
         .learn(&primary.id, &instance_region, relay_peers);
--- a/crates/linkhold-gateway/src/fleet.rs
+++ b/crates/linkhold-gateway/src/fleet.rs
@@ -15,16 +15,16 @@
 use linkhold_peer::{FeedFleet, FeedNode};
 
 use crate::gateway::Gateway;
-use crate::places::Places;
 use crate::ports::Platform;
 use crate::registry::{Member, Registration, Registry};
 use crate::state::AdoptedFleet;
+use crate::zone_map::ZoneMap;
 
 /// The node itself, as it tells others.
 pub(crate) fn own_node<P: Platform>(gateway: &Gateway<P>) -> FeedNode {
     FeedNode {
         name: gateway.settings.node.clone(),
-        zone: gateway.settings.places.zone.to_string(),
+        zone: gateway.settings.zone_map.zone.to_string(),
         address: gateway.peers.address(),
         bandwidth: gateway.settings.bandwidth,
     }
@@ -50,7 +50,7 @@
     let members: Vec<&Member> = members.values().collect();
     let is_settled = registry.is_settled();
     let may_fill = is_settled || reading == Reading::Yes;
-    let readers = chosen_readers(&gateway.settings.places, &members, may_fill);
+    let readers = chosen_readers(&gateway.settings.zone_map, &members, may_fill);
     let duty_nodes = duty_nodes(&members, &readers);
     let listed = members
         .iter()
@@ -124,10 +124,10 @@
 }
 
 /// The nodes that read the store in a fleet that has readers.
-fn chosen_readers(places: &Places, members: &[&Member], may_fill: bool) -> Vec<FeedNode> {
+fn chosen_readers(zone_map: &ZoneMap, members: &[&Member], may_fill: bool) -> Vec<FeedNode> {
     let regions: Vec<RegionName> = members
         .iter()
-        .map(|member| places.region(&member.registration.node.zone))
+        .map(|member| zone_map.region(&member.registration.node.zone))
         .collect();
     let candidates: Vec<ReaderCandidate<'_>> = members
         .iter()
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -157,7 +157,7 @@
             return FleetSource::Store;
         }
         let own = &self.settings.node;
-        self.fleet.source(own, &self.settings.places)
+        self.fleet.source(own, &self.settings.zone_map)
     }
 
     /// Longest pause between two tries of a store that gives no answer.
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -28,7 +28,6 @@
 mod peers;
 mod permission;
 mod permission_watch;
-pub mod places;
 mod pool;
 mod pools;
 pub mod ports;
@@ -44,6 +43,7 @@
 mod store_era;
 mod warm_up;
 mod watchers;
+pub mod zone_map;
 
 use std::sync::Arc;
 
--- a/crates/linkhold-gateway/src/owners.rs
+++ b/crates/linkhold-gateway/src/owners.rs
@@ -13,8 +13,8 @@
 use linkhold_peer::FeedNode;
 
 use crate::beliefs::lock;
-use crate::places::Places;
 use crate::request::principal::Principal;
+use crate::zone_map::ZoneMap;
 
 /// The owners of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -123,16 +123,16 @@
 /// Knows the owners of every instance.
 pub(crate) struct Owners {
     own: NodeId,
-    places: Places,
+    zone_map: ZoneMap,
     state: Mutex<State>,
 }
 
 impl Owners {
     /// No node is known.
-    pub fn new(own: NodeId, places: Places) -> Self {
+    pub fn new(own: NodeId, zone_map: ZoneMap) -> Self {
         Self {
             own,
-            places,
+            zone_map,
             state: Mutex::default(),
         }
     }
@@ -174,14 +174,14 @@
     /// Owners are of the instance's zone if it has enough nodes, else of its
     /// region, or of anywhere if that has none.
     fn choose(&self, nodes: &[Known], instance: &Instance) -> InstanceOwners {
-        let region = self.places.region(&instance.zone);
+        let region = self.zone_map.region(&instance.zone);
         let in_zone: Vec<&Known> = nodes
             .iter()
             .filter(|node| node.zone == instance.zone)
             .collect();
         let in_region: Vec<&Known> = nodes
             .iter()
-            .filter(|node| self.places.region(&node.zone) == region)
+            .filter(|node| self.zone_map.region(&node.zone) == region)
             .collect();
         let nearby = if in_zone.len() >= owners::OWNERS {
             in_zone
@@ -196,7 +196,7 @@
             Some(Owner {
                 id: node.id,
                 address: (node.id != self.own).then_some(node.address),
-                region: self.places.region(&node.zone),
+                region: self.zone_map.region(&node.zone),
             })
         };
         let order = owners::preference(self.own, &chosen);
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -41,7 +41,7 @@
         Self {
             pools: Mutex::default(),
             nodes: AtomicUsize::new(ASSUMED_NODES),
-            owners: Owners::new(own, settings.places.clone()),
+            owners: Owners::new(own, settings.zone_map.clone()),
             started: Instant::now(),
             is_crowded: AtomicBool::new(false),
         }
--- a/crates/linkhold-gateway/src/request/attempt/held.rs
+++ b/crates/linkhold-gateway/src/request/attempt/held.rs
@@ -35,13 +35,13 @@
     /// Whether neither its instance nor a node on the way to it stands outside the
     /// allowed regions.
     pub fn is_within(&self, gateway: &Gateway<P>, regions: &AllowedRegions) -> bool {
-        let permits_zone = |zone: &str| regions.permits(&gateway.settings.places.region(zone));
+        let permits_zone = |zone: &str| regions.permits(&gateway.settings.zone_map.region(zone));
         match self {
             Self::Own(lease) => lease.is_within(regions) && permits_zone(&lease.instance().zone),
             Self::Lent(lent) => {
                 let owner = gateway
                     .fleet
-                    .region_of(lent.owner(), &gateway.settings.places);
+                    .region_of(lent.owner(), &gateway.settings.zone_map);
                 let sees = owner.is_some_and(|region| regions.permits(&region));
                 (!regions.is_bound() || sees) && permits_zone(&lent.instance().zone)
             }
--- a/crates/linkhold-gateway/src/settings.rs
+++ b/crates/linkhold-gateway/src/settings.rs
@@ -6,7 +6,7 @@
 use linkhold_core::service::warm_up::WarmUpRules;
 use linkhold_core::tenancy::QuotaRules;
 
-use crate::places::Places;
+use crate::zone_map::ZoneMap;
 
 /// Settings of the engine. Times are as the platform bounds them.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// Name of the node, unique in the fleet.
     pub node: String,
     /// Where it is.
-    pub places: Places,
+    pub zone_map: ZoneMap,
     /// Where other nodes reach this one; `None` where nodes do not talk.
     pub peer_address: Option<SocketAddr>,
     /// Bandwidth of the node's link in Mbit/s; 0 if it is not told.
--- a/crates/linkhold-gateway/src/state/fleet.rs
+++ b/crates/linkhold-gateway/src/state/fleet.rs
@@ -14,9 +14,9 @@
 
 use crate::admission::Coordinator;
 use crate::beliefs::lock;
-use crate::places::Places;
 use crate::registry::{Member, Process, Registration, Registry};
 use crate::watchers::Watchers;
+use crate::zone_map::ZoneMap;
 
 /// What is known of the fleet.
 #[derive(Default)]
@@ -100,11 +100,11 @@
 }
 
 impl ReaderAddresses {
-    fn among(readers: &[FeedNode], places: &Places) -> Self {
-        let own_region = places.own_region();
+    fn among(readers: &[FeedNode], zone_map: &ZoneMap) -> Self {
+        let own_region = zone_map.own_region();
         let (near, far): (Vec<&FeedNode>, Vec<&FeedNode>) = readers
             .iter()
-            .partition(|node| places.region(&node.zone) == own_region);
+            .partition(|node| zone_map.region(&node.zone) == own_region);
         let addresses = |nodes: Vec<&FeedNode>| nodes.iter().filter_map(|it| it.address).collect();
         Self {
             near: addresses(near),
@@ -135,11 +135,11 @@
     }
 
     /// The region of the node at an address; `None` if it is not known.
-    pub fn region_of(&self, address: SocketAddr, places: &Places) -> Option<RegionName> {
+    pub fn region_of(&self, address: SocketAddr, zone_map: &ZoneMap) -> Option<RegionName> {
         let view = lock(&self.view);
         let mut nodes = view.nodes.values();
         let node = nodes.find(|node| node.address == Some(address))?;
-        Some(places.region(&node.zone))
+        Some(zone_map.region(&node.zone))
     }
 
     /// Other nodes' addresses; `None` unless all nodes are known.
@@ -193,10 +193,10 @@
     }
 
     /// Where this node gets configuration and instances from.
-    pub fn source(&self, own_name: &str, places: &Places) -> FleetSource {
+    pub fn source(&self, own_name: &str, zone_map: &ZoneMap) -> FleetSource {
         let view = lock(&self.view);
         let names: Vec<&str> = view.readers.iter().map(|node| node.name.as_str()).collect();
-        let mut addresses = ReaderAddresses::among(&view.readers, places);
+        let mut addresses = ReaderAddresses::among(&view.readers, zone_map);
         if view.key.is_none() {
             // Nothing can be said to them.
             addresses = ReaderAddresses::default();
--- a/crates/linkhold-gateway/src/places.rs
+++ b/crates/linkhold-gateway/src/zone_map.rs
@@ -1,21 +1,21 @@
-//! Where things are.
+//! Zones and their regions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use linkhold_core::service::placement::Distance;
 
-/// The node's own place and the regions of all zones.
+/// The zone of this node and the regions of all zones.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct ZoneMap {
     /// The node's zone.
     pub zone: Arc<str>,
     /// Region of each zone.
     pub regions: HashMap<Arc<str>, Arc<str>>,
 }
 
-impl Places {
-    /// The region of a zone; one that is not told of is a region of its own.
+impl ZoneMap {
+    /// The region of a zone; a zone without a configured region is a region of its own.
     pub fn region(&self, zone: &str) -> Arc<str> {
         self.regions
             .get(zone)
