--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -17,7 +17,6 @@
 mod forward;
 pub mod gate;
 mod gateway;
-mod keeper;
 mod lease_format;
 pub mod lifecycle;
 mod liveness;
@@ -31,6 +30,7 @@
 mod pool;
 mod pools;
 pub mod ports;
+mod refresh;
 mod registration;
 pub mod registry;
 mod relay;
@@ -55,10 +55,10 @@
 /// Starts the tasks that keep a node's beliefs. They run until the process
 /// ends.
 pub fn start_tasks<P: Platform>(gateway: &Arc<Gateway<P>>) {
-    tokio::spawn(keeper::keep_configuration(gateway.clone()));
-    tokio::spawn(keeper::keep_instances(gateway.clone()));
-    tokio::spawn(keeper::expire_instances(gateway.clone()));
-    tokio::spawn(keeper::close_unused_connections(gateway.clone()));
+    tokio::spawn(refresh::refresh_configuration(gateway.clone()));
+    tokio::spawn(refresh::refresh_instances(gateway.clone()));
+    tokio::spawn(refresh::expire_instances(gateway.clone()));
+    tokio::spawn(refresh::close_unused_connections(gateway.clone()));
     tokio::spawn(registration::keep_registered(gateway.clone()));
     tokio::spawn(permission_watch::watch(gateway.clone()));
     tokio::spawn(confirmation::keep_confirmed(gateway.clone()));
--- a/crates/linkhold-gateway/src/keeper.rs
+++ b/crates/linkhold-gateway/src/refresh.rs
@@ -78,7 +78,7 @@
 
 /// Keeps in force what the operator asks for: the configuration, and evacuations of
 /// zones. Runs until the process ends.
-pub async fn keep_configuration<P: Platform>(gateway: Arc<Gateway<P>>) {
+pub async fn refresh_configuration<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut contact = Contact::new(&gateway, "configuration");
     let mut place: Option<StorePlace> = None;
     loop {
@@ -137,7 +137,7 @@
 }
 
 /// Keeps the list of instances. Runs until the process ends.
-pub async fn keep_instances<P: Platform>(gateway: Arc<Gateway<P>>) {
+pub async fn refresh_instances<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut contact = Contact::new(&gateway, "instances");
     let mut place: Option<StorePlace> = None;
     loop {
