--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -13,7 +13,7 @@
 use linkhold_events::Event;
 
 use crate::beliefs::lock;
-use crate::liveness::Life;
+use crate::liveness::ProcessState;
 
 use super::quotas::{self, BudgetRequest, THOUSANDTHS};
 use super::{BudgetWorld, Coordinator};
@@ -194,9 +194,9 @@
 fn may_ask_another<W: BudgetWorld>(world: &Arc<W>, asker: &Asker) -> bool {
     match asker {
         Asker::Itself => false,
-        Asker::Peer(address) => match world.quotas().liveness.of(*address) {
-            Some(Life::Reached | Life::Ended) => false,
-            Some(Life::Silent) | None => true,
+        Asker::Peer(address) => match world.quotas().liveness.last_state(*address) {
+            Some(ProcessState::Reached | ProcessState::Ended) => false,
+            Some(ProcessState::Silent) | None => true,
         },
     }
 }
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, timeout, timeout_at};
 
 use crate::beliefs::lock;
-use crate::liveness::{Life, Liveness};
+use crate::liveness::{Liveness, ProcessState};
 
 use super::coordinator::{self, Asker, BudgetAnswer, Coordination};
 use super::{BudgetWorld, Coordinator};
@@ -246,7 +246,9 @@
 fn has_ended<W: BudgetWorld>(world: &Arc<W>, node: Coordinator) -> bool {
     match node {
         Coordinator::Itself => false,
-        Coordinator::Peer(address) => world.quotas().liveness.of(address) == Some(Life::Ended),
+        Coordinator::Peer(address) => {
+            world.quotas().liveness.last_state(address) == Some(ProcessState::Ended)
+        }
     }
 }
 
--- a/crates/linkhold-gateway/src/liveness.rs
+++ b/crates/linkhold-gateway/src/liveness.rs
@@ -18,11 +18,11 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long what was found counts: a process that has ended is started again after a second
 /// at the least.
-const FINDING_LIFE: Duration = Duration::from_millis(700);
+const RESULT_LIFETIME: Duration = Duration::from_millis(700);
 
 /// What a try to connect to a node found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Life {
+pub(crate) enum ProcessState {
     /// It takes connections.
     Reached,
     /// Its machine refuses them: the process has ended.
@@ -32,43 +32,43 @@
 }
 
 /// Tries to connect to a node.
-pub(crate) async fn look(address: SocketAddr) -> Life {
+pub(crate) async fn probe(address: SocketAddr) -> ProcessState {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Life::Reached,
-        Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Life::Ended,
-        Ok(Err(_)) | Err(_) => Life::Silent,
+        Ok(Ok(_)) => ProcessState::Reached,
+        Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => ProcessState::Ended,
+        Ok(Err(_)) | Err(_) => ProcessState::Silent,
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Finding {
-    looked_at: Instant,
+struct ProbeResult {
+    probed_at: Instant,
     /// What was found; `None` while the first look is under way.
-    life: Option<Life>,
+    state: Option<ProcessState>,
 }
 
 /// What was found of nodes that gave no answer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Liveness(Arc<Mutex<HashMap<SocketAddr, Finding>>>);
+pub(crate) struct Liveness(Arc<Mutex<HashMap<SocketAddr, ProbeResult>>>);
 
 impl Liveness {
     /// What was found of a node last; `None` if nothing yet. Looks for the next time, and
     /// never waits.
-    pub fn of(&self, address: SocketAddr) -> Option<Life> {
-        let looked_at = Instant::now();
-        let mut findings = lock(&self.0);
-        let known = findings.get(&address).copied();
-        let life = known.and_then(|known| known.life);
-        if known.is_none_or(|known| looked_at >= known.looked_at + FINDING_LIFE) {
-            findings.insert(address, Finding { looked_at, life });
-            tokio::spawn(self.clone().look(address));
+    pub fn last_state(&self, address: SocketAddr) -> Option<ProcessState> {
+        let probed_at = Instant::now();
+        let mut results = lock(&self.0);
+        let known = results.get(&address).copied();
+        let state = known.and_then(|known| known.state);
+        if known.is_none_or(|known| probed_at >= known.probed_at + RESULT_LIFETIME) {
+            results.insert(address, ProbeResult { probed_at, state });
+            tokio::spawn(self.clone().probe(address));
         }
-        life
+        state
     }
 
-    async fn look(self, address: SocketAddr) {
-        let life = Some(look(address).await);
-        let looked_at = Instant::now();
-        lock(&self.0).insert(address, Finding { looked_at, life });
+    async fn probe(self, address: SocketAddr) {
+        let state = Some(probe(address).await);
+        let probed_at = Instant::now();
+        lock(&self.0).insert(address, ProbeResult { probed_at, state });
     }
 }
--- a/crates/linkhold-gateway/src/names.rs
+++ b/crates/linkhold-gateway/src/names.rs
@@ -12,7 +12,7 @@
 
 use crate::fleet;
 use crate::gateway::Gateway;
-use crate::liveness::{self, Life};
+use crate::liveness::{self, ProcessState};
 use crate::ports::Platform;
 use crate::registry::{Process, Registration};
 
@@ -93,7 +93,7 @@
 /// primaries, and a machine that refuses connections runs none.
 async fn may_run(node: &FeedNode) -> bool {
     match node.address {
-        Some(address) => liveness::look(address).await != Life::Ended,
+        Some(address) => liveness::probe(address).await != ProcessState::Ended,
         None => false,
     }
 }
