--- a/crates/linkhold-gateway/src/confirmation.rs
+++ b/crates/linkhold-gateway/src/confirmation.rs
@@ -47,7 +47,7 @@
         if is_confirmed(&gateway).await {
             let agreed = gateway.beliefs.permission.agreed();
             gateway.beliefs.permission.confirmed(asked_at, &agreed);
-            gateway.followers.confirmed(asked_at);
+            gateway.followers.record_confirmation(asked_at);
         }
         sleep(CONFIRMATION_INTERVAL.saturating_sub(asked_at.elapsed())).await;
     }
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -281,7 +281,7 @@
 /// time do, each decides for itself.
 fn is_one_too_many<P: Platform>(gateway: &Gateway<P>) -> bool {
     let share = gateway.fleet.followers_a_reader();
-    let probability = shed_probability(gateway.followers.served(), share);
+    let probability = shed_probability(gateway.followers.open_streams(), share);
     gateway.fleet.is_settled() && rand::random_bool(probability)
 }
 
--- a/crates/linkhold-gateway/src/followers.rs
+++ b/crates/linkhold-gateway/src/followers.rs
@@ -167,7 +167,7 @@
     }
 
     /// Streams to followers that are open.
-    pub fn served(&self) -> usize {
+    pub fn open_streams(&self) -> usize {
         self.served.load(Ordering::Relaxed)
     }
 
@@ -204,7 +204,7 @@
 
     /// Others confirmed to this node that it may go on, to a question that was
     /// sent at a moment.
-    pub fn confirmed(&self, asked_at: Instant) {
+    pub fn record_confirmation(&self, asked_at: Instant) {
         let mut known = lock(&self.known);
         let followers = known.followers.values_mut();
         for follower in followers.filter(|follower| follower.heard_at <= asked_at) {
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -136,7 +136,7 @@
         let may_be_followed = self.fleet.has_readers() || !self.fleet.is_settled();
         // What was agreed to ends with news of the instances.
         let awaits_news = self.beliefs.withholds_any();
-        if may_be_followed || awaits_news || self.followers.served() > 0 {
+        if may_be_followed || awaits_news || self.followers.open_streams() > 0 {
             self.freshness.wait
         } else {
             self.freshness.wait_alone
