--- a/crates/linkhold-gateway/src/budget_world.rs
+++ b/crates/linkhold-gateway/src/budget_world.rs
@@ -34,7 +34,7 @@
 
     fn view_age(&self) -> Duration {
         // A node that has just started has read the fleet and follows nobody yet.
-        let own_reading = self.fleet.reading_age();
+        let own_reading = self.fleet.last_read_age();
         self.beliefs.directory_age().min(own_reading)
     }
 
--- a/crates/linkhold-gateway/src/confirmation.rs
+++ b/crates/linkhold-gateway/src/confirmation.rs
@@ -56,7 +56,7 @@
 /// Whether enough of all nodes, this one included, have agreed to no replacement of
 /// which this one does not know.
 async fn is_confirmed<P: Platform>(gateway: &Gateway<P>) -> bool {
-    let Some(needed) = confirmations_needed(gateway.fleet.largest_size_lately()) else {
+    let Some(needed) = confirmations_needed(gateway.fleet.largest_recent_size()) else {
         return false;
     };
     let (Some(key), Some(socket)) = (gateway.fleet.key(), gateway.peers.socket()) else {
@@ -64,7 +64,7 @@
     };
     let number = rand::random();
     let mut answers = gateway.peers.confirmations.asked(number);
-    let mut pending = gateway.fleet.peers(&gateway.settings.node);
+    let mut pending = gateway.fleet.peer_addresses(&gateway.settings.node);
     let question = ReachabilityMessage::ConfirmationQuestion { number };
     // A lost question is made up for by the next one.
     peers::send(&socket, &pending, &encode_reachability(&question, &key)).await;
--- a/crates/linkhold-gateway/src/failover/misplaced.rs
+++ b/crates/linkhold-gateway/src/failover/misplaced.rs
@@ -64,6 +64,6 @@
 }
 
 fn turn_delay<P: Platform>(gateway: &Gateway<P>, service: &str) -> Duration {
-    let rank = gateway.fleet.rank(&gateway.settings.node, service);
+    let rank = gateway.fleet.duty_rank(&gateway.settings.node, service);
     RANK_INTERVAL.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX))
 }
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -162,7 +162,7 @@
 }
 
 fn rank_delay<P: Platform>(gateway: &Gateway<P>, service: &str) -> Duration {
-    let rank = gateway.fleet.rank(&gateway.settings.node, service);
+    let rank = gateway.fleet.duty_rank(&gateway.settings.node, service);
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
     RANK_INTERVAL.saturating_mul(rank).min(LONGEST_RANK_DELAY)
 }
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -70,7 +70,7 @@
     let era = gateway.store_era.known();
     let services = gateway.beliefs.services().into_iter();
     services
-        .filter(|service| gateway.fleet.is_first(node, service))
+        .filter(|service| gateway.fleet.is_duty_owner(node, service))
         .filter(|service| !gateway.leases.holds(service, node, era))
         .collect()
 }
@@ -137,7 +137,7 @@
             continue;
         }
         let (current, record) = current.flatten().unzip();
-        let is_in_fleet = |holder: &str| gateway.fleet.knows(holder);
+        let is_in_fleet = |holder: &str| gateway.fleet.may_include(holder);
         let lease = failover::hold_ready(current.as_ref(), node, is_in_fleet, time);
         new.extend(lease.map(|lease| NewLease {
             service: service.clone(),
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -62,7 +62,7 @@
     let owners = primary.and_then(|it| gateway.pools.owners_of(&it, &gateway.beliefs));
     match owners {
         Some(owners) => owners.rank() == Some(0),
-        None => gateway.fleet.rank(&gateway.settings.node, service) == 0,
+        None => gateway.fleet.duty_rank(&gateway.settings.node, service) == 0,
     }
 }
 
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -280,7 +280,7 @@
 /// Whether this follower is to go to another reader, since this one has too many: some at a
 /// time do, each decides for itself.
 fn is_one_too_many<P: Platform>(gateway: &Gateway<P>) -> bool {
-    let share = gateway.fleet.followers_a_reader();
+    let share = gateway.fleet.followers_per_reader();
     let probability = shed_probability(gateway.followers.open_streams(), share);
     gateway.fleet.is_settled() && rand::random_bool(probability)
 }
--- a/crates/linkhold-gateway/src/peers/questions.rs
+++ b/crates/linkhold-gateway/src/peers/questions.rs
@@ -43,7 +43,7 @@
         let node = &gateway.settings.node;
         let nodes = match gateway.watchers.of(node, service) {
             Some(watchers) => watchers.others.clone(),
-            None => gateway.fleet.peers(node),
+            None => gateway.fleet.peer_addresses(node),
         };
         Self {
             nodes,
@@ -73,7 +73,7 @@
             Err(StoreError::OtherEra) => return Err("store_was_restored"),
             Err(_) => {}
         }
-        let known = gateway.fleet.all_peers(&gateway.settings.node);
+        let known = gateway.fleet.all_peer_addresses(&gateway.settings.node);
         let nodes = known.filter(|_| gateway.platform.checks_tokens());
         let nodes = nodes.ok_or("fleet_not_known")?;
         Ok(Self {
--- a/crates/linkhold-gateway/src/state/fleet.rs
+++ b/crates/linkhold-gateway/src/state/fleet.rs
@@ -36,7 +36,7 @@
     /// Sizes that it had lately.
     sizes: FleetSizes,
     /// Nodes for each reader.
-    followers_a_reader: usize,
+    followers_per_reader: usize,
     /// Whether `size` counts all nodes: not while a fleet starts.
     is_settled: bool,
     /// Nodes among which duties are dealt out, as of this node's own last
@@ -125,7 +125,7 @@
     }
 
     /// Addresses of the other nodes that are known.
-    pub fn peers(&self, own_name: &str) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&self, own_name: &str) -> Vec<SocketAddr> {
         lock(&self.view)
             .nodes
             .values()
@@ -143,12 +143,13 @@
     }
 
     /// Other nodes' addresses; `None` unless all nodes are known.
-    pub fn all_peers(&self, own_name: &str) -> Option<Vec<SocketAddr>> {
-        self.knows_all().then(|| self.peers(own_name))
+    pub fn all_peer_addresses(&self, own_name: &str) -> Option<Vec<SocketAddr>> {
+        self.knows_all_nodes()
+            .then(|| self.peer_addresses(own_name))
     }
 
     /// Whether this node knows all nodes.
-    pub fn knows_all(&self) -> bool {
+    pub fn knows_all_nodes(&self) -> bool {
         let view = lock(&self.view);
         view.is_settled && view.size > 0 && view.size == view.nodes.len()
     }
@@ -160,7 +161,7 @@
 
     /// Whether a node is in the fleet; any is taken to be as long as not all are
     /// known.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn may_include(&self, name: &str) -> bool {
         let view = lock(&self.view);
         view.nodes.contains_key(name) || !view.is_settled || view.size > view.nodes.len()
     }
@@ -172,14 +173,14 @@
 
     /// The most nodes that the fleet had while those that have gone since may still
     /// count for others.
-    pub fn largest_size_lately(&self) -> usize {
+    pub fn largest_recent_size(&self) -> usize {
         let view = lock(&self.view);
         view.sizes.largest(Instant::now()).max(view.size)
     }
 
     /// Nodes for each reader.
-    pub fn followers_a_reader(&self) -> usize {
-        lock(&self.view).followers_a_reader
+    pub fn followers_per_reader(&self) -> usize {
+        lock(&self.view).followers_per_reader
     }
 
     /// What followers are told; `None` as long as not all nodes are known.
@@ -220,7 +221,7 @@
     }
 
     /// How long ago this node itself read the fleet last; without end if never.
-    pub fn reading_age(&self) -> Duration {
+    pub fn last_read_age(&self) -> Duration {
         let read_at = lock(&self.view).read_at;
         read_at.map_or(Duration::MAX, |at| at.elapsed())
     }
@@ -269,7 +270,7 @@
     /// Whether this node is the first of those that take up a duty. Followers
     /// of a reader know too little of the fleet to be, and so does every node
     /// while not all are known.
-    pub fn is_first(&self, own_name: &str, duty: &str) -> bool {
+    pub fn is_duty_owner(&self, own_name: &str, duty: &str) -> bool {
         let view = lock(&self.view);
         if !view.is_settled {
             return false;
@@ -281,7 +282,7 @@
     /// The first nodes in the order in which they coordinate a tenant's budget;
     /// none while not all are known.
     pub fn coordinators(&self, own_name: &str, tenant: &str) -> Vec<Coordinator> {
-        if !self.knows_all() {
+        if !self.knows_all_nodes() {
             return Vec::new();
         }
         let view = lock(&self.view);
@@ -366,7 +367,7 @@
         let has_changed =
             have_nodes_changed || view.readers != readers || view.is_settled != is_settled;
         view.size = size;
-        view.followers_a_reader = nodes.len().div_ceil(readers.len().max(1));
+        view.followers_per_reader = nodes.len().div_ceil(readers.len().max(1));
         view.nodes = nodes;
         view.readers = readers;
         view.is_settled = is_settled;
@@ -378,7 +379,7 @@
 
     /// This node's place in the order in which nodes take up a duty, among
     /// those it knows.
-    pub fn rank(&self, own_name: &str, duty: &str) -> usize {
+    pub fn duty_rank(&self, own_name: &str, duty: &str) -> usize {
         let view = lock(&self.view);
         let own = NodeId::of_name(own_name);
         let nodes = view.nodes.keys().map(|name| NodeId::of_name(name));
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -135,7 +135,7 @@
     fn spender_standing(&self, instance: &Instance) -> SpenderStanding {
         let owners = self.pools.owners().of(instance);
         SpenderStanding {
-            rank: owners.rank().filter(|_| self.fleet.knows_all()),
+            rank: owners.rank().filter(|_| self.fleet.knows_all_nodes()),
             view_age: self.beliefs.directory_age(),
             life_time: self.started_at.elapsed(),
             was_listed: self.fleet.was_listed(),
