--- a/crates/linkhold-gateway/src/beliefs/primaries.rs
+++ b/crates/linkhold-gateway/src/beliefs/primaries.rs
@@ -87,7 +87,10 @@
         let is_withheld = known
             .withholdings
             .holds(&primary.id, now, known.directory_as_of);
-        !is_withheld && self.permission.covers(primary, now, known.directory_as_of)
+        !is_withheld
+            && self
+                .permission
+                .may_acknowledge_for(primary, now, known.directory_as_of)
     }
 
     /// This node agrees to acknowledge nothing of an instance for a while, since
--- a/crates/linkhold-gateway/src/confirmation.rs
+++ b/crates/linkhold-gateway/src/confirmation.rs
@@ -28,7 +28,7 @@
 
 /// This node's answer to a question for a confirmation.
 pub(crate) fn answer<P: Platform>(gateway: &Gateway<P>, number: u64) -> ReachabilityMessage {
-    let agreed = gateway.beliefs.permission.confirm();
+    let agreed = gateway.beliefs.permission.agreed_if_held();
     ReachabilityMessage::ConfirmationAnswer {
         number,
         agreed: agreed.filter(|subjects| subjects.len() <= MOST_SUBJECTS),
@@ -46,7 +46,10 @@
         let asked_at = Instant::now();
         if is_confirmed(&gateway).await {
             let agreed = gateway.beliefs.permission.agreed();
-            gateway.beliefs.permission.confirmed(asked_at, &agreed);
+            gateway
+                .beliefs
+                .permission
+                .record_confirmation(asked_at, &agreed);
             gateway.followers.record_confirmation(asked_at);
         }
         sleep(CONFIRMATION_INTERVAL.saturating_sub(asked_at.elapsed())).await;
@@ -80,7 +83,7 @@
         };
         pending.swap_remove(index);
         let permission = &gateway.beliefs.permission;
-        if agreed.is_some_and(|agreed| permission.knows(&agreed)) {
+        if agreed.is_some_and(|agreed| permission.has_agreed_to_all(&agreed)) {
             confirmed += 1;
         }
     }
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -63,7 +63,7 @@
         }
     }
     let asked_at = Instant::now();
-    let is_listed = gateway.beliefs.permission.holds();
+    let is_listed = gateway.beliefs.permission.is_held();
     // Another process may have had this node's name since, and used the lease.
     let may_use = gateway.platform.checks_tokens() && is_listed;
     let era = gateway.store_era.known();
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -348,7 +348,7 @@
     let present = survey::status(gateway, old).await?;
     // A node that stood still during another's hand-over did it once more when it woke,
     // from the old primary's log: 3 to 5 commits of the new one were undone.
-    if !gateway.beliefs.permission.holds() {
+    if !gateway.beliefs.permission.is_held() {
         return None;
     }
     if !leads_newest_term(gateway, old, &present) {
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -230,7 +230,7 @@
     /// for so long that it may speak for no primary any more.
     fn is_not_listed(&self, now: Instant) -> bool {
         let had_time = now.saturating_duration_since(self.followed_at) > LISTING_PATIENCE;
-        had_time && !self.gateway.beliefs.permission.holds()
+        had_time && !self.gateway.beliefs.permission.is_held()
     }
 
     /// The reader has a row written that lists this node.
@@ -239,10 +239,10 @@
             return Ok(());
         };
         let permission = &self.gateway.beliefs.permission;
-        match (permission.renewed(sent_at), claims) {
+        match (permission.record_renewal(sent_at), claims) {
             (Renewed::Continued, _) => Ok(()),
             (Renewed::ToBeAdmitted, Some(claims)) => {
-                permission.admitted(sent_at, &claims);
+                permission.record_admission(sent_at, &claims);
                 Ok(())
             }
             // Whoever comes anew is told of the leases.
@@ -253,7 +253,10 @@
     /// Enough nodes confirmed to the reader that it may go on.
     fn confirmed(&self, number: u64, agreed: &[String]) {
         if let Some(sent_at) = lock(self.renewals).confirmed(number) {
-            self.gateway.beliefs.permission.confirmed(sent_at, agreed);
+            self.gateway
+                .beliefs
+                .permission
+                .record_confirmation(sent_at, agreed);
         }
     }
 
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -19,13 +19,13 @@
 
 impl OwnPermission {
     /// The store confirmed a renewal that was sent at a moment.
-    pub fn renewed(&self, sent_at: Instant) -> Renewed {
+    pub fn record_renewal(&self, sent_at: Instant) -> Renewed {
         lock(&self.permission).renewed(sent_at, Instant::now())
     }
 
     /// This node was listed by a renewal that was sent at a moment, and has learnt
     /// which leases were claimed by then.
-    pub fn admitted(&self, sent_at: Instant, claims: &[RecentClaim]) {
+    pub fn record_admission(&self, sent_at: Instant, claims: &[RecentClaim]) {
         let now = Instant::now();
         let mut permission = lock(&self.permission);
         let held = permission.holds(now);
@@ -34,7 +34,7 @@
         if !held {
             Event::info("permission_gained")
                 .field("sent_ms_ago", sent_at.elapsed().as_millis())
-                .field("renewed_ms_ago", told_age(age))
+                .field("renewed_ms_ago", logged_age(age))
                 .field("claims", claims.len())
                 .log();
         }
@@ -42,14 +42,14 @@
 
     /// Enough nodes confirmed that this node may go on, to a question that was sent at a
     /// moment, and has agreed to nothing but `agreed`.
-    pub fn confirmed(&self, asked_at: Instant, agreed: &[String]) {
-        if self.knows(agreed) {
+    pub fn record_confirmation(&self, asked_at: Instant, agreed: &[String]) {
+        if self.has_agreed_to_all(agreed) {
             lock(&self.permission).confirmed(asked_at);
         }
     }
 
     /// Whether this node may speak for an instance as a primary at a moment.
-    pub fn covers(
+    pub fn may_acknowledge_for(
         &self,
         instance: &Instance,
         moment: Instant,
@@ -60,7 +60,7 @@
     }
 
     /// Whether this node may speak for primaries at all.
-    pub fn holds(&self) -> bool {
+    pub fn is_held(&self) -> bool {
         lock(&self.permission).holds(Instant::now())
     }
 
@@ -86,8 +86,8 @@
 
     /// What this node has agreed to lately, told to one that relies on it; `None` if
     /// this node may not speak for primaries itself.
-    pub fn confirm(&self) -> Option<Vec<String>> {
-        self.holds().then(|| self.agreed())
+    pub fn agreed_if_held(&self) -> Option<Vec<String>> {
+        self.is_held().then(|| self.agreed())
     }
 
     /// What this node has agreed to lately.
@@ -96,7 +96,7 @@
     }
 
     /// Whether this node has agreed to all that others have.
-    pub fn knows(&self, agreed: &[String]) -> bool {
+    pub fn has_agreed_to_all(&self, agreed: &[String]) -> bool {
         lock(&self.consents).include(agreed, Instant::now())
     }
 
@@ -107,8 +107,8 @@
     }
 
     /// The same for the log.
-    pub fn told_age(&self) -> String {
-        told_age(self.age_ms())
+    pub fn logged_age(&self) -> String {
+        logged_age(self.age_ms())
     }
 }
 
@@ -118,6 +118,6 @@
     age.map(milliseconds)
 }
 
-fn told_age(age_ms: Option<u64>) -> String {
+fn logged_age(age_ms: Option<u64>) -> String {
     age_ms.map_or_else(|| "never".to_owned(), |age| age.to_string())
 }
--- a/crates/linkhold-gateway/src/permission_watch.rs
+++ b/crates/linkhold-gateway/src/permission_watch.rs
@@ -18,10 +18,10 @@
     let mut held = false;
     loop {
         sleep(LOOK_INTERVAL).await;
-        let holds = permission.holds();
+        let holds = permission.is_held();
         if std::mem::replace(&mut held, holds) && !holds {
             Event::warn("permission_lapsed")
-                .field("renewed_ms_ago", permission.told_age())
+                .field("renewed_ms_ago", permission.logged_age())
                 .log();
         }
     }
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -285,7 +285,7 @@
         // Nobody can ask it.
         return Ok(());
     }
-    let renewed = gateway.beliefs.permission.renewed(sent_at);
+    let renewed = gateway.beliefs.permission.record_renewal(sent_at);
     let claims = if renewed == Renewed::ToBeAdmitted || list.covers.has_arrivals() {
         let known = failover::recent_claims(gateway).await?;
         adopt_lead_records(gateway, &known.records);
@@ -295,7 +295,7 @@
     };
     if renewed == Renewed::ToBeAdmitted {
         let claims = claims.as_ref().map_or(&[][..], |known| &known.claims);
-        gateway.beliefs.permission.admitted(sent_at, claims);
+        gateway.beliefs.permission.record_admission(sent_at, claims);
     }
     gateway.followers.written(list.covers, claims);
     Ok(())
