--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -56,8 +56,8 @@
         let claiming = timeout(STORE_TIMEOUT, try_claim(gateway, service, successor));
         if let Ok(Ok(lease)) = claiming.await {
             match &lease {
-                Some(lease) => gateway.leases.remember(service, lease),
-                None => gateway.leases.lost(service),
+                Some(lease) => gateway.leases.record(service, lease),
+                None => gateway.leases.forget(service),
             }
             return lease.map(|lease| Claim { lease, asked_at });
         }
@@ -162,7 +162,7 @@
     let asked_at = Instant::now();
     let marking = timeout(STORE_TIMEOUT, mark_order(gateway, service, &claimed.lease));
     let lease = marking.await.ok()?.ok()??;
-    gateway.leases.remember(service, &lease);
+    gateway.leases.record(service, &lease);
     Some(Claim { lease, asked_at })
 }
 
@@ -278,7 +278,7 @@
     let mut read = read_lease(gateway, service).await?;
     let node = &gateway.settings.node;
     let current = read.lease.clone().map(|row| match row.holder == *node {
-        true => gateway.leases.completed(service, row),
+        true => gateway.leases.with_local_state(service, row),
         false => row,
     });
     let lease = match failover::claim(current.as_ref(), node, successor, read.read_at) {
--- a/crates/linkhold-gateway/src/failover/order.rs
+++ b/crates/linkhold-gateway/src/failover/order.rs
@@ -108,14 +108,14 @@
         send_by: order_by,
     };
     gateway.metrics.promotions.add();
-    gateway.leases.ordering(service, order.token);
+    gateway.leases.record_order(service, order.token);
     let started = Instant::now();
     let answer = timeout(ORDER_TIMEOUT, gateway.platform.promote(&order))
         .await
         .unwrap_or(PromoteAnswer::Unknown);
     log_order(&order, successor.received, &grounds, answer, started);
-    let is_settled =
-        answer != PromoteAnswer::Unknown && gateway.leases.answered(service, order.token);
+    let is_settled = answer != PromoteAnswer::Unknown
+        && gateway.leases.record_order_answer(service, order.token);
     // Others need not wait for it, nor this node if it orders another one.
     let ordered = grounds.claim.lease.clone();
     let settling = (is_settled && ordered.ordered_at.is_some())
@@ -132,7 +132,7 @@
         PromoteAnswer::Refused => {
             // A newer token may have been seen: this one is not used without the
             // store again.
-            gateway.leases.lost(service);
+            gateway.leases.forget(service);
             "refused"
         }
         PromoteAnswer::Throttled => "throttled",
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -103,7 +103,7 @@
             return Err(StoreError::Refused);
         }
         for new in together {
-            gateway.leases.remember(&new.service, &new.lease);
+            gateway.leases.record(&new.service, &new.lease);
             Event::info("lease_held_ready")
                 .field("service", &new.service)
                 .field("token", new.lease.token)
--- a/crates/linkhold-gateway/src/lease_format.rs
+++ b/crates/linkhold-gateway/src/lease_format.rs
@@ -99,12 +99,12 @@
 struct SentOrders {
     token: u64,
     /// Those that were not answered: they may be carried out yet.
-    open: usize,
+    unanswered: usize,
 }
 
 impl HeldLeases {
     /// This node claimed a lease.
-    pub fn remember(&self, service: &ServiceName, lease: &FailoverLease) {
+    pub fn record(&self, service: &ServiceName, lease: &FailoverLease) {
         lock(&self.leases).insert(service.clone(), lease.clone());
     }
 
@@ -117,50 +117,53 @@
     }
 
     /// An order under a token is about to leave.
-    pub fn ordering(&self, service: &ServiceName, token: u64) {
+    pub fn record_order(&self, service: &ServiceName, token: u64) {
         let mut orders = lock(&self.orders);
         let sent = orders
             .entry(service.clone())
-            .and_modify(|sent| sent.open *= usize::from(sent.token == token))
-            .or_insert(SentOrders { token, open: 0 });
+            .and_modify(|sent| sent.unanswered *= usize::from(sent.token == token))
+            .or_insert(SentOrders {
+                token,
+                unanswered: 0,
+            });
         sent.token = token;
-        sent.open += 1;
+        sent.unanswered += 1;
     }
 
-    /// It was answered, or did not leave. Whether no other one under its token is open.
-    pub fn answered(&self, service: &str, token: u64) -> bool {
+    /// It was answered, or did not leave. Whether no other one under its token is unanswered.
+    pub fn record_order_answer(&self, service: &str, token: u64) -> bool {
         let mut orders = lock(&self.orders);
         let Some(sent) = orders.get_mut(service).filter(|sent| sent.token == token) else {
             return false;
         };
-        sent.open = sent.open.saturating_sub(1);
-        sent.open == 0
+        sent.unanswered = sent.unanswered.saturating_sub(1);
+        sent.unanswered == 0
     }
 
     /// Whether all orders that this node sent under a token were answered.
-    fn has_none_open(&self, service: &str, token: u64) -> bool {
+    fn all_answered(&self, service: &str, token: u64) -> bool {
         let orders = lock(&self.orders);
         let sent = orders.get(service);
-        sent.is_some_and(|sent| sent.token == token && sent.open == 0)
+        sent.is_some_and(|sent| sent.token == token && sent.unanswered == 0)
     }
 
     /// A lease of this node's own as its row has it, with what only this node knows: for
     /// which successor its token was used without the store, and that its order was
     /// answered.
-    pub fn completed(&self, service: &str, row: FailoverLease) -> FailoverLease {
+    pub fn with_local_state(&self, service: &str, row: FailoverLease) -> FailoverLease {
         let mut lease = row;
         let held = lock(&self.leases).get(service).cloned();
         if let Some(held) = held.filter(|held| held.token == lease.token) {
             lease.successor = lease.successor.or(held.successor);
         }
-        if self.has_none_open(service, lease.token) {
+        if self.all_answered(service, lease.token) {
             lease.ordered_at = None;
         }
         lease
     }
 
     /// Another node holds the lease now.
-    pub fn lost(&self, service: &str) {
+    pub fn forget(&self, service: &str) {
         lock(&self.leases).remove(service);
     }
 
