--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -18,7 +18,7 @@
 use crate::gateway::Gateway;
 use crate::lease_format::{KnownClaims, decode_lease, encode_lease};
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
-use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, bounded};
+use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, with_timeout};
 
 /// How long a claim, a read and a write, may take.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
@@ -213,7 +213,7 @@
     let call = gateway
         .platform
         .read_rows(FleetTable::Claims, RowRange::All);
-    let rows = bounded(call, READ_TIMEOUT).await?;
+    let rows = with_timeout(call, READ_TIMEOUT).await?;
     let read_at = Instant::now();
     let mut claims = Vec::new();
     let mut records = Vec::new();
@@ -240,7 +240,7 @@
     gateway: &Gateway<P>,
     service: &ServiceName,
 ) -> Result<LeadRecord, StoreError> {
-    bounded(read_lease(gateway, service), CALL_TIMEOUT)
+    with_timeout(read_lease(gateway, service), CALL_TIMEOUT)
         .await
         .map(|read| read.record)
 }
@@ -252,7 +252,7 @@
     service: &ServiceName,
     term: Term,
 ) -> Result<bool, StoreError> {
-    let mut read = bounded(read_lease(gateway, service), CALL_TIMEOUT).await?;
+    let mut read = with_timeout(read_lease(gateway, service), CALL_TIMEOUT).await?;
     let now = read.read_at.now;
     let claimed = read.lease.as_ref();
     let pending = claimed.filter(|it| it.may_take_effect(now));
@@ -267,7 +267,7 @@
     let Some(lease) = read.lease.clone().or_else(unused) else {
         return Ok(false);
     };
-    bounded(write_lease(gateway, service, &lease, &read), CALL_TIMEOUT).await
+    with_timeout(write_lease(gateway, service, &lease, &read), CALL_TIMEOUT).await
 }
 
 async fn try_claim<P: Platform>(
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -20,7 +20,7 @@
 use crate::gateway::Gateway;
 use crate::lease_format::{decode_lease, encode_lease};
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
-use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, bounded};
+use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, with_timeout};
 
 /// How often a node looks for leases that it is to hold ready.
 const LOOK_INTERVAL: Duration = Duration::from_millis(3_000);
@@ -98,7 +98,7 @@
         gateway.metrics.store_calls.count(CallReason::Lease);
         let rows: Vec<RowWrite<'_>> = rows.collect();
         let call = gateway.platform.write_rows(&rows);
-        if bounded(call, CALL_TIMEOUT).await? == WriteResult::Conflict {
+        if with_timeout(call, CALL_TIMEOUT).await? == WriteResult::Conflict {
             // Another node claimed one of them meanwhile: all are read again.
             return Err(StoreError::Refused);
         }
@@ -122,7 +122,7 @@
     let call = gateway
         .platform
         .read_rows(FleetTable::Leases, RowRange::All);
-    let rows = bounded(call, READ_TIMEOUT).await?;
+    let rows = with_timeout(call, READ_TIMEOUT).await?;
     let time = ClaimTime {
         now: rows.now,
         era: rows.era,
--- a/crates/linkhold-gateway/src/refresh.rs
+++ b/crates/linkhold-gateway/src/refresh.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::Gateway;
 use crate::ports::{DirectoryChange, Platform, StoreError};
-use crate::store_call::{CallReason, READ_TIMEOUT, bounded};
+use crate::store_call::{CallReason, READ_TIMEOUT, with_timeout};
 
 /// First pause after a failure; it doubles.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
@@ -107,7 +107,7 @@
 async fn read_operator<P: Platform>(gateway: &Gateway<P>) -> Result<StorePlace, StoreError> {
     let asked_at = Instant::now();
     let call = gateway.platform.read_operator();
-    let (state, next) = bounded(call, READ_TIMEOUT).await?;
+    let (state, next) = with_timeout(call, READ_TIMEOUT).await?;
     gateway.store_era.seen(next.era());
     let beliefs = &gateway.beliefs;
     // Before the configuration, with which a node begins to serve.
@@ -126,7 +126,7 @@
     let asked_at = Instant::now();
     let wait = gateway.store_wait();
     let call = gateway.platform.follow_operator(from, wait);
-    let (changes, next) = bounded(call, wait + READ_TIMEOUT).await?;
+    let (changes, next) = with_timeout(call, wait + READ_TIMEOUT).await?;
     let beliefs = &gateway.beliefs;
     beliefs.change_evacuations(changes.evacuations, next, Instant::now());
     beliefs.evacuations_vouched(asked_at);
@@ -168,7 +168,7 @@
 async fn read_instances<P: Platform>(gateway: &Gateway<P>) -> Result<StorePlace, StoreError> {
     let asked_at = Instant::now();
     let call = gateway.platform.read_instances();
-    let (listed, next) = bounded(call, READ_TIMEOUT).await?;
+    let (listed, next) = with_timeout(call, READ_TIMEOUT).await?;
     gateway.store_era.seen(next.era());
     gateway.sources.instances_answered();
     gateway
@@ -185,7 +185,7 @@
     let asked_at = Instant::now();
     let wait = gateway.store_wait();
     let call = gateway.platform.follow_instances(from, wait);
-    let (changes, next) = bounded(call, wait + READ_TIMEOUT).await?;
+    let (changes, next) = with_timeout(call, wait + READ_TIMEOUT).await?;
     gateway.sources.instances_answered();
     let has_changes = !changes.is_empty();
     for change in changes {
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -24,7 +24,7 @@
 use crate::names::Namesakes;
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
 use crate::registry::{self, ERA_ROW, EraRow, PEER_KEY_ROW, Process, Registry};
-use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, bounded};
+use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, with_timeout};
 
 /// Pause before registering is tried again after a failure, at the least.
 const RETRY_INTERVAL: Duration = Duration::from_millis(700);
@@ -158,7 +158,7 @@
     gateway.metrics.store_calls.count(CallReason::Key);
     let call = gateway.platform.write_rows(&rows);
     // Another node may have written them first.
-    bounded(call, CALL_TIMEOUT).await.map(|_| ())
+    with_timeout(call, CALL_TIMEOUT).await.map(|_| ())
 }
 
 fn era_row(era: Era, since: u64, expected: StorePlace) -> Result<RowWrite<'static>, StoreError> {
@@ -203,7 +203,7 @@
         }];
         let call = gateway.platform.write_rows(&rows);
         gateway.metrics.store_calls.count(CallReason::Register);
-        if let WriteResult::Written(version) = bounded(call, CALL_TIMEOUT).await? {
+        if let WriteResult::Written(version) = with_timeout(call, CALL_TIMEOUT).await? {
             gateway.own_row.written();
             // If it is not that, the next write is refused, and the row is read.
             gateway.own_row.read(version);
@@ -323,7 +323,7 @@
     let call = gateway.platform.read_rows(FleetTable::Nodes, range);
     gateway.metrics.store_calls.count(reason);
     let asked_at = Instant::now();
-    let rows = bounded(call, limit).await?;
+    let rows = with_timeout(call, limit).await?;
     Ok(Registry::decode(&rows, asked_at, &gateway.settings.node))
 }
 
@@ -344,7 +344,7 @@
     if !gateway.own_row.was_written() {
         return;
     }
-    if let Err(error) = bounded(withdraw_row(gateway), DEREGISTER_TIMEOUT).await {
+    if let Err(error) = with_timeout(withdraw_row(gateway), DEREGISTER_TIMEOUT).await {
         // Without it, the row expires by itself.
         log_failure(gateway, error);
     }
@@ -404,7 +404,7 @@
     gateway.metrics.store_calls.count(CallReason::List);
     let asked_at = Instant::now();
     let call = gateway.platform.read_rows(FleetTable::Nodes, RowRange::All);
-    let mut rows = bounded(call, LIST_TIMEOUT).await?;
+    let mut rows = with_timeout(call, LIST_TIMEOUT).await?;
     rows.rows.retain(|row| row.key != key);
     Ok(Registry::decode(&rows, asked_at, &gateway.settings.node))
 }
@@ -421,7 +421,7 @@
     let rows = [key];
     let call = gateway.platform.write_rows(&rows);
     gateway.metrics.store_calls.count(CallReason::Key);
-    match bounded(call, CALL_TIMEOUT).await? {
+    match with_timeout(call, CALL_TIMEOUT).await? {
         WriteResult::Written(_) => {
             write_first_era(gateway).await?;
             Ok(PeerKey::new(own))
@@ -443,7 +443,7 @@
     let rows = [era_row(era, 0, StorePlace::default())?];
     gateway.metrics.store_calls.count(CallReason::Key);
     let call = gateway.platform.write_rows(&rows);
-    bounded(call, CALL_TIMEOUT).await.map(|_| ())
+    with_timeout(call, CALL_TIMEOUT).await.map(|_| ())
 }
 
 /// Addresses of the other nodes, as the store lists them.
--- a/crates/linkhold-gateway/src/store_call.rs
+++ b/crates/linkhold-gateway/src/store_call.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store: each is bounded, and counted by its reason
+//! Calls to the platform's store: each is with_timeout, and counted by its reason
 //! ([`crate::metrics::Metrics::store_calls`]).
 
 use std::time::Duration;
@@ -58,7 +58,7 @@
 }
 
 /// Makes a call that must be answered within `limit`.
-pub(crate) async fn bounded<T>(
+pub(crate) async fn with_timeout<T>(
     call: impl Future<Output = Result<T, StoreError>>,
     limit: Duration,
 ) -> Result<T, StoreError> {
