--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -66,7 +66,7 @@
     let is_listed = gateway.beliefs.permission.is_held();
     // Another process may have had this node's name since, and used the lease.
     let may_use = gateway.platform.checks_tokens() && is_listed;
-    let era = gateway.store_era.known();
+    let era = gateway.store_era.latest();
     let held = gateway
         .leases
         .use_without_store(service, successor, may_use, era);
@@ -148,7 +148,7 @@
 ) -> Option<Claim> {
     if gateway.platform.checks_tokens() {
         let successor = claimed.lease.successor.as_ref()?;
-        let is_of_era = era_of_token(claimed.lease.token) == gateway.store_era.known();
+        let is_of_era = era_of_token(claimed.lease.token) == gateway.store_era.latest();
         let lasts = is_of_era && Instant::now() < claimed.order_by();
         return match lasts {
             true => Some(claimed.clone()),
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -67,7 +67,7 @@
 /// Services whose leases this node is the first to hold and does not.
 fn wanted<P: Platform>(gateway: &Gateway<P>) -> BTreeSet<ServiceName> {
     let node = &gateway.settings.node;
-    let era = gateway.store_era.known();
+    let era = gateway.store_era.latest();
     let services = gateway.beliefs.services().into_iter();
     services
         .filter(|service| gateway.fleet.is_duty_owner(node, service))
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -44,7 +44,7 @@
             );
         }
         for (service, risen) in &mut known {
-            let era = gateway.store_era.known();
+            let era = gateway.store_era.latest();
             if risen.kept_in != Some(era) && is_recorder(&gateway, service) {
                 risen.kept_in = record(&gateway, service, risen.term).await.then_some(era);
             }
--- a/crates/linkhold-gateway/src/feed/told.rs
+++ b/crates/linkhold-gateway/src/feed/told.rs
@@ -88,7 +88,7 @@
 }
 
 fn adopt_instances<P: Platform>(gateway: &Gateway<P>, known: FeedInstances) {
-    gateway.store_era.seen(known.place.era());
+    gateway.store_era.observe(known.place.era());
     let listed = known
         .instances
         .into_iter()
@@ -101,7 +101,7 @@
 
 fn adopt_instance_changes<P: Platform>(gateway: &Gateway<P>, changes: FeedInstanceChanges) {
     let beliefs = &gateway.beliefs;
-    gateway.store_era.seen(changes.place.era());
+    gateway.store_era.observe(changes.place.era());
     if !beliefs.advance_directory(changes.place) {
         return;
     }
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -290,7 +290,7 @@
             ("sessions_open", self.metrics.sessions_open()),
             ("zones_evacuated", self.beliefs.evacuations().0.len() as u64),
             ("instances_held_off", self.warm_ups.count_cold() as u64),
-            ("store_era", u64::from(self.store_era.known().0)),
+            ("store_era", u64::from(self.store_era.latest().0)),
             ("entries_unusable_total", self.platform.unusable_entries()),
         ];
         // A node that was never listed has no such age.
--- a/crates/linkhold-gateway/src/refresh.rs
+++ b/crates/linkhold-gateway/src/refresh.rs
@@ -108,7 +108,7 @@
     let asked_at = Instant::now();
     let call = gateway.platform.read_operator();
     let (state, next) = with_timeout(call, READ_TIMEOUT).await?;
-    gateway.store_era.seen(next.era());
+    gateway.store_era.observe(next.era());
     let beliefs = &gateway.beliefs;
     // Before the configuration, with which a node begins to serve.
     beliefs.replace_evacuations(state.evacuated, next, Instant::now());
@@ -169,7 +169,7 @@
     let asked_at = Instant::now();
     let call = gateway.platform.read_instances();
     let (listed, next) = with_timeout(call, READ_TIMEOUT).await?;
-    gateway.store_era.seen(next.era());
+    gateway.store_era.observe(next.era());
     gateway.sources.instances_answered();
     gateway
         .beliefs
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -310,7 +310,7 @@
         _ => READ_TIMEOUT,
     };
     let registry = read_rows(gateway, RowRange::All, limit, reason).await?;
-    gateway.store_era.seen(registry.era);
+    gateway.store_era.observe(registry.era);
     Ok(registry)
 }
 
@@ -436,7 +436,7 @@
 /// Tells that the store ran on its era when the first node ever started: no node can have
 /// been lost with an earlier one.
 async fn write_first_era<P: Platform>(gateway: &Gateway<P>) -> Result<(), StoreError> {
-    let era = gateway.store_era.known();
+    let era = gateway.store_era.latest();
     if era == Era::default() {
         return Ok(());
     }
--- a/crates/linkhold-gateway/src/store_era.rs
+++ b/crates/linkhold-gateway/src/store_era.rs
@@ -11,12 +11,12 @@
 
 impl StoreEra {
     /// The latest era that is known.
-    pub fn known(&self) -> Era {
+    pub fn latest(&self) -> Era {
         Era(self.0.load(Ordering::Relaxed))
     }
 
     /// Something was told in an era. One that is older than what is known is passed over.
-    pub fn seen(&self, era: Era) {
+    pub fn observe(&self, era: Era) {
         let before = self.0.fetch_max(era.0, Ordering::Relaxed);
         if before < era.0 {
             Event::warn("store_era_began")
