--- a/crates/linkhold-gateway/src/confirmation.rs
+++ b/crates/linkhold-gateway/src/confirmation.rs
@@ -66,7 +66,7 @@
         return false;
     };
     let number = rand::random();
-    let mut answers = gateway.peers.confirmations.asked(number);
+    let mut answers = gateway.peers.confirmations.register(number);
     let mut pending = gateway.fleet.peer_addresses(&gateway.settings.node);
     let question = ReachabilityMessage::ConfirmationQuestion { number };
     // A lost question is made up for by the next one.
@@ -87,6 +87,6 @@
             confirmed += 1;
         }
     }
-    gateway.peers.confirmations.ended(number);
+    gateway.peers.confirmations.close(number);
     confirmed >= needed
 }
--- a/crates/linkhold-gateway/src/evidence/sharing.rs
+++ b/crates/linkhold-gateway/src/evidence/sharing.rs
@@ -45,7 +45,7 @@
     };
     let receiver = gateway.reader_link.ask(question)?;
     let answer = timeout(ANSWER_TIMEOUT, receiver).await;
-    gateway.reader_link.ended(number);
+    gateway.reader_link.cancel(number);
     let answer = answer.ok()?.ok()?;
     Some(Sample {
         sent_at: asked_at.checked_sub(answer.age)?,
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -192,7 +192,7 @@
             let next = match message {
                 FeedMessage::Beat { age, list } => self.vouched(age, list),
                 FeedMessage::EvidenceAnswer(answer) => {
-                    self.gateway.reader_link.answered(answer);
+                    self.gateway.reader_link.deliver(answer);
                     continue;
                 }
                 FeedMessage::Listed {
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -110,7 +110,7 @@
                     found,
                     leader: leader.as_deref().map(instance_id),
                 };
-                gateway.peers.questions.answered(number, answer);
+                gateway.peers.questions.deliver(number, answer);
             }
             Ok(Datagram::Reachability(ReachabilityMessage::Release { number })) => {
                 gateway.beliefs.release(number);
@@ -127,7 +127,7 @@
                 agreed,
             })) => {
                 let confirmation = Confirmation { from, agreed };
-                gateway.peers.confirmations.answered(number, confirmation);
+                gateway.peers.confirmations.deliver(number, confirmation);
             }
             Err(error) => Event::warn("peer_message_refused")
                 .field("from", from)
--- a/crates/linkhold-gateway/src/peers/questions.rs
+++ b/crates/linkhold-gateway/src/peers/questions.rs
@@ -157,7 +157,7 @@
     };
     let mut findings = PeerFindings::default();
     findings.tally.nodes = audience.nodes.len() + 1;
-    let receiver = gateway.peers.questions.asked(number);
+    let receiver = gateway.peers.questions.register(number);
     let message = ReachabilityMessage::Question {
         number,
         subject,
@@ -167,7 +167,7 @@
     let silent = collect(&socket, audience, &datagram, receiver, &mut findings).await;
     let is_former = |peer: &&SocketAddr| audience.former.contains(peer);
     findings.silent_former = silent.iter().filter(is_former).count();
-    gateway.peers.questions.ended(number);
+    gateway.peers.questions.close(number);
     findings
 }
 
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -337,7 +337,7 @@
 /// Takes this node out of the fleet, so that nobody waits for its answers.
 pub(crate) async fn deregister<P: Platform>(gateway: &Gateway<P>) {
     if gateway.sources.is_following() {
-        gateway.reader_link.tell(FeedMessage::Leaving);
+        gateway.reader_link.send(FeedMessage::Leaving);
         sleep(FAREWELL_TIME).await;
         return;
     }
--- a/crates/linkhold-gateway/src/state/awaited.rs
+++ b/crates/linkhold-gateway/src/state/awaited.rs
@@ -19,14 +19,14 @@
 
 impl<T> AwaitedAnswers<T> {
     /// A question with a number is asked; its answers come out of the receiver.
-    pub fn asked(&self, number: u64) -> mpsc::UnboundedReceiver<T> {
+    pub fn register(&self, number: u64) -> mpsc::UnboundedReceiver<T> {
         let (sender, receiver) = mpsc::unbounded_channel();
         lock(&self.0).insert(number, sender);
         receiver
     }
 
     /// A node answered the question with a number.
-    pub fn answered(&self, number: u64, answer: T) {
+    pub fn deliver(&self, number: u64, answer: T) {
         if let Some(sender) = lock(&self.0).get(&number) {
             // Whoever asked may have stopped waiting.
             let _ = sender.send(answer);
@@ -34,7 +34,7 @@
     }
 
     /// Nobody waits for answers to a question any more.
-    pub fn ended(&self, number: u64) {
+    pub fn close(&self, number: u64) {
         lock(&self.0).remove(&number);
     }
 }
--- a/crates/linkhold-gateway/src/state/reader_link.rs
+++ b/crates/linkhold-gateway/src/state/reader_link.rs
@@ -30,7 +30,7 @@
     }
 
     /// The reader has answered.
-    pub fn answered(&self, answer: EvidenceAnswer) {
+    pub fn deliver(&self, answer: EvidenceAnswer) {
         if let Some(waiting) = lock(&self.waiting).remove(&answer.number) {
             // Whoever asked may have stopped waiting.
             let _ = waiting.send(answer);
@@ -38,7 +38,7 @@
     }
 
     /// Tells the reader something, if one is followed.
-    pub fn tell(&self, message: FeedMessage) {
+    pub fn send(&self, message: FeedMessage) {
         if let Some(outbox) = &*lock(&self.outbox) {
             // A reader that is lost need not be told.
             let _ = outbox.send(message);
@@ -55,7 +55,7 @@
     }
 
     /// Nobody waits for the answer to a question any more.
-    pub fn ended(&self, number: u64) {
+    pub fn cancel(&self, number: u64) {
         lock(&self.waiting).remove(&number);
     }
 }
--- a/crates/linkhold-gateway/src/store_call.rs
+++ b/crates/linkhold-gateway/src/store_call.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store: each is with_timeout, and counted by its reason
+//! Calls to the platform's store: each has a timeout and is counted by its reason
 //! ([`crate::metrics::Metrics::store_calls`]).
 
 use std::time::Duration;
