--- a/crates/linkhold-gateway/src/evidence/probe.rs
+++ b/crates/linkhold-gateway/src/evidence/probe.rs
@@ -58,7 +58,7 @@
     service: &ServiceName,
     moment: Instant,
 ) {
-    if !gateway.questions.start(service) {
+    if !gateway.evidence_questions.start(service) {
         return;
     }
     let gateway = gateway.clone();
@@ -73,7 +73,7 @@
             Some(sample) => gateway.beliefs.record_evidence(&service, sample),
             None => ask_primary(&gateway, &service, moment).await,
         }
-        gateway.questions.end(&service);
+        gateway.evidence_questions.end(&service);
     });
 }
 
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -23,8 +23,8 @@
 use crate::ports::{BackendConnector, Platform};
 use crate::settings::GatewaySettings;
 use crate::state::{
-    Fleet, FleetSource, Forwarding, LeadProofs, LeadRecords, OwnRow, Peers, Questions, ReaderLink,
-    Relays, Sources, WarmUps,
+    EvidenceQuestions, Fleet, FleetSource, Forwarding, LeadProofs, LeadRecords, OwnRow, Peers,
+    ReaderLink, Relays, Sources, WarmUps,
 };
 use crate::store_era::StoreEra;
 use crate::watchers::Watchers;
@@ -45,7 +45,7 @@
     pub metrics: Metrics,
     /// Asks for evidence or a look at a primary.
     pub(crate) attention: Attention,
-    pub(crate) questions: Questions,
+    pub(crate) evidence_questions: EvidenceQuestions,
     pub(crate) fleet: Fleet,
     pub(crate) own_row: OwnRow,
     pub(crate) followers: Followers,
@@ -104,7 +104,7 @@
             settings,
             metrics: Metrics::default(),
             attention: Attention::default(),
-            questions: Questions::default(),
+            evidence_questions: EvidenceQuestions::default(),
             fleet: Fleet::default(),
             own_row: OwnRow::default(),
             followers: Followers::default(),
--- a/crates/linkhold-gateway/src/state/questions.rs
+++ b/crates/linkhold-gateway/src/state/evidence_questions.rs
@@ -1,4 +1,4 @@
-//! Questions for evidence that are under way.
+//! EvidenceQuestions for evidence that are under way.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -9,9 +9,9 @@
 
 /// Services about which a question is under way.
 #[derive(Debug, Default)]
-pub(crate) struct Questions(Mutex<HashSet<ServiceName>>);
+pub(crate) struct EvidenceQuestions(Mutex<HashSet<ServiceName>>);
 
-impl Questions {
+impl EvidenceQuestions {
     /// A question is asked unless one is under way; whether it is.
     pub fn start(&self, service: &ServiceName) -> bool {
         lock(&self.0).insert(service.clone())
--- a/crates/linkhold-gateway/src/state/mod.rs
+++ b/crates/linkhold-gateway/src/state/mod.rs
@@ -4,26 +4,26 @@
 //! (asks, tells, decides) stands in modules that do.
 
 mod awaited;
+mod evidence_questions;
 mod fleet;
 mod forwarding;
 mod lead_proofs;
 mod lead_records;
 mod own_row;
 mod peers;
-mod questions;
 mod reader_link;
 mod relays;
 mod sources;
 mod warm_ups;
 
 pub(crate) use awaited::AwaitedAnswers;
+pub(crate) use evidence_questions::EvidenceQuestions;
 pub(crate) use fleet::{AdoptedFleet, Fleet, FleetSource, ReaderAddresses};
 pub(crate) use forwarding::Forwarding;
 pub(crate) use lead_proofs::{LeadProofs, SilentRound};
 pub(crate) use lead_records::LeadRecords;
 pub(crate) use own_row::OwnRow;
 pub(crate) use peers::{Confirmation, PeerAnswer, Peers};
-pub(crate) use questions::Questions;
 pub(crate) use reader_link::ReaderLink;
 pub(crate) use relays::{RelayPeer, Relays};
 pub(crate) use sources::{ReadReason, Sources};
