--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -28,7 +28,7 @@
     let Some(primary) = gateway.beliefs.primary(service) else {
         return Some(Trouble::Unknown);
     };
-    let audience = Audience::for_look(gateway, service);
+    let audience = Audience::for_probe(gateway, service);
     let peers = peers::ask(
         gateway,
         rand::random(),
@@ -131,13 +131,13 @@
 pub(super) async fn learn_leader<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> bool {
     /// Watchers that are asked: one may be lost, or not know it yet.
     const ASKED: usize = 2;
-    let audience = Audience::for_look(gateway, service).sample(ASKED);
+    let audience = Audience::for_probe(gateway, service).sample(ASKED);
     let subject = QuestionSubject::PrimaryOf(service.to_string());
     let purpose = QuestionPurpose::Look;
     let findings = peers::ask(gateway, rand::random(), subject, purpose, &audience).await;
     let present = gateway.beliefs.primary(service);
     let is_news = |id: &&InstanceId| present.as_ref().is_none_or(|primary| primary.id != **id);
-    let Some(leader) = findings.leaders.iter().find(is_news) else {
+    let Some(leader) = findings.primaries.iter().find(is_news) else {
         return false;
     };
     gateway
@@ -240,7 +240,7 @@
     subject: QuestionSubject,
 ) -> Result<Agreement, Vec<SocketAddr>> {
     ask_watchers_first(gateway, service, &subject).await?;
-    let audience = match Audience::everyone(gateway).await {
+    let audience = match Audience::all_nodes(gateway).await {
         Ok(audience) => audience,
         Err(reason) => {
             log_withheld(service, reason);
@@ -290,7 +290,7 @@
     if watchers.others.is_empty() {
         return Ok(());
     }
-    let audience = Audience::for_look(gateway, service);
+    let audience = Audience::for_probe(gateway, service);
     let purpose = QuestionPurpose::Look;
     let findings = peers::ask(gateway, rand::random(), subject.clone(), purpose, &audience).await;
     if findings.tally.reached == 0 {
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -64,7 +64,7 @@
     tokio::spawn(confirmation::keep_confirmed(gateway.clone()));
     tokio::spawn(peers::answer_questions(gateway.clone()));
     tokio::spawn(feed::serve_peers(gateway.clone()));
-    tokio::spawn(sources::choose(gateway.clone()));
+    tokio::spawn(sources::choose_source(gateway.clone()));
     tokio::spawn(failover::watch_primaries(gateway.clone()));
     tokio::spawn(failover::hold_leases_ready(gateway.clone()));
     tokio::spawn(failover::keep_lead_records(gateway.clone()));
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! No promotion rests on a sample of the fleet. A look ([`QuestionPurpose::Look`])
 //! may ask some nodes; whoever replaces a primary asks everyone
-//! ([`Audience::everyone`]), as listed in the store at that moment. In a large fleet the
+//! ([`Audience::all_nodes`]), as listed in the store at that moment. In a large fleet the
 //! watchers of the service alone try the instance when they are asked; the others tell
 //! what they know of it, and agree if that is nothing.
 
@@ -108,7 +108,7 @@
                 let answer = PeerAnswer {
                     from,
                     found,
-                    leader: leader.as_deref().map(instance_id),
+                    primary: leader.as_deref().map(instance_id),
                 };
                 gateway.peers.questions.deliver(number, answer);
             }
--- a/crates/linkhold-gateway/src/peers/questions.rs
+++ b/crates/linkhold-gateway/src/peers/questions.rs
@@ -39,7 +39,7 @@
 impl Audience {
     /// For a look: all others of a small fleet, the watchers of the service in a larger
     /// one.
-    pub fn for_look<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> Self {
+    pub fn for_probe<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> Self {
         let node = &gateway.settings.node;
         let nodes = match gateway.watchers.of(node, service) {
             Some(watchers) => watchers.others.clone(),
@@ -61,7 +61,7 @@
     /// Everyone: as the store lists them now or, if it gives no answer and the
     /// authority itself refuses old tokens, as this node knows them. An error tells why not
     /// all of them are known.
-    pub async fn everyone<P: Platform>(gateway: &Gateway<P>) -> Result<Self, &'static str> {
+    pub async fn all_nodes<P: Platform>(gateway: &Gateway<P>) -> Result<Self, &'static str> {
         match registration::list_nodes(gateway).await {
             Ok(listed) => {
                 return Ok(Self {
@@ -96,7 +96,7 @@
     /// Former nodes that did not answer.
     pub silent_former: usize,
     /// Instances that nodes reach as the primary of the service they were asked about.
-    pub leaders: Vec<InstanceId>,
+    pub primaries: Vec<InstanceId>,
 }
 
 impl PeerFindings {
@@ -114,7 +114,7 @@
             Reachability::Reached => {
                 self.tally.reached += 1;
                 self.reached_by.push(answer.from);
-                self.leaders.extend(answer.leader);
+                self.primaries.extend(answer.primary);
             }
             // It stands for nobody who is waited for.
             Reachability::Unreached | Reachability::NotPrimary if is_former => {
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -33,7 +33,7 @@
 
 /// Chooses the source as the fleet changes and readers are lost. Runs until the
 /// process ends.
-pub(crate) async fn choose<P: Platform>(gateway: Arc<Gateway<P>>) {
+pub(crate) async fn choose_source<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut follower = Follower::new();
     loop {
         match gateway.source() {
--- a/crates/linkhold-gateway/src/state/peers.rs
+++ b/crates/linkhold-gateway/src/state/peers.rs
@@ -20,7 +20,7 @@
     /// How it reaches the instance.
     pub found: Reachability,
     /// The instance that it reaches as the primary, if it was asked about a service.
-    pub leader: Option<InstanceId>,
+    pub primary: Option<InstanceId>,
 }
 
 /// A node's answer to a question for a confirmation.
