--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -19,7 +19,7 @@
 use crate::followers::Ticket;
 use crate::gateway::Gateway;
 use crate::metrics::FeedKind;
-use crate::names;
+use crate::name_conflicts;
 use crate::ports::Platform;
 use crate::registry::Process;
 
@@ -83,7 +83,7 @@
     while let Ok(message) = read_message(stream, key).await {
         match message {
             FeedMessage::Renewal { node, number } => {
-                if names::is_held_by_another(gateway, &node).await {
+                if name_conflicts::is_name_held_by_another(gateway, &node).await {
                     return;
                 }
                 let process = Process::of(&node);
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod lifecycle;
 mod liveness;
 pub mod metrics;
-mod names;
+mod name_conflicts;
 mod observations;
 mod owners;
 mod peers;
--- a/crates/linkhold-gateway/src/names.rs
+++ b/crates/linkhold-gateway/src/name_conflicts.rs
@@ -18,7 +18,7 @@
 
 /// Processes of a name that may still run, and those that have ended.
 #[derive(Debug, Default)]
-pub(crate) struct Namesakes {
+pub(crate) struct NameConflicts {
     /// Those that may run and count as nodes of the fleet: they have the name.
     pub holders: Vec<Registration>,
     /// Those that may run and counted lately.
@@ -27,25 +27,25 @@
     pub ended: Vec<Registration>,
 }
 
-impl Namesakes {
+impl NameConflicts {
     /// Looks which of some processes still run.
-    pub async fn look(processes: Vec<Registration>) -> Self {
+    pub async fn probe(processes: Vec<Registration>) -> Self {
         let may_run = join_all(processes.iter().map(|process| may_run(&process.node))).await;
-        let mut namesakes = Self::default();
+        let mut conflicts = Self::default();
         for (process, may_run) in processes.into_iter().zip(may_run) {
             if !may_run {
-                namesakes.ended.push(process);
+                conflicts.ended.push(process);
             } else if process.is_present() {
-                namesakes.holders.push(process);
+                conflicts.holders.push(process);
             } else if process.is_asked() {
-                namesakes.former.push(process);
+                conflicts.former.push(process);
             }
         }
-        namesakes
+        conflicts
     }
 
     /// Whether another process has the name of one that would be listed; logs that.
-    pub fn hold_name_of(&self, waiting: &Process) -> bool {
+    pub fn is_name_held(&self, waiting: &Process) -> bool {
         let Some(holder) = self.holders.first() else {
             return false;
         };
@@ -61,29 +61,32 @@
 
 /// Whether a node that would follow this one has to wait, since another process of its
 /// name is listed and may still run.
-pub(crate) async fn is_held_by_another<P: Platform>(gateway: &Gateway<P>, node: &FeedNode) -> bool {
+pub(crate) async fn is_name_held_by_another<P: Platform>(
+    gateway: &Gateway<P>,
+    node: &FeedNode,
+) -> bool {
     let process = Process::of(node);
     if gateway.followers.has_live(&process) {
         return false;
     }
     let mut others = gateway.followers.others_of_its_name(&process);
     others.extend(gateway.fleet.others_of_its_name(&process));
-    others.extend(own_namesake(gateway, &process));
+    others.extend(own_conflict(gateway, &process));
     if others.is_empty() {
         return false;
     }
-    let namesakes = Namesakes::look(others).await;
-    for ended in &namesakes.ended {
+    let conflicts = NameConflicts::probe(others).await;
+    for ended in &conflicts.ended {
         gateway.followers.left(&Process::of(&ended.node));
     }
-    namesakes.hold_name_of(&process)
+    conflicts.is_name_held(&process)
 }
 
 /// This process, if another one has its name.
-fn own_namesake<P: Platform>(gateway: &Gateway<P>, other: &Process) -> Option<Registration> {
+fn own_conflict<P: Platform>(gateway: &Gateway<P>, other: &Process) -> Option<Registration> {
     let own = fleet::own_node(gateway);
-    let is_namesake = own.name == other.name && own.address != other.address;
-    is_namesake.then_some(Registration {
+    let is_conflict = own.name == other.name && own.address != other.address;
+    is_conflict.then_some(Registration {
         node: own,
         age: Duration::ZERO,
     })
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -21,7 +21,7 @@
 use crate::failover;
 use crate::fleet::{self, Reading};
 use crate::gateway::Gateway;
-use crate::names::Namesakes;
+use crate::name_conflicts::NameConflicts;
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
 use crate::registry::{self, ERA_ROW, EraRow, PEER_KEY_ROW, Process, Registry};
 use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, with_timeout};
@@ -251,11 +251,11 @@
 ) -> Result<StorePlace, StoreError> {
     let registry = read_registry(gateway, CallReason::Register).await?;
     let others = registry.other_processes(own).cloned().collect();
-    let namesakes = Namesakes::look(others).await;
-    if namesakes.hold_name_of(own) {
+    let conflicts = NameConflicts::probe(others).await;
+    if conflicts.is_name_held(own) {
         return Err(StoreError::Refused);
     }
-    gateway.followers.restore(&namesakes.former);
+    gateway.followers.restore(&conflicts.former);
     Ok(registry.own_version)
 }
 
@@ -467,7 +467,7 @@
         present: Vec::new(),
         former: Vec::new(),
     };
-    let ended = ended_namesakes(&registry).await;
+    let ended = ended_replaced_processes(&registry).await;
     let processes = registry.processes.iter();
     for (process, registration) in processes.filter(|(process, _)| **process != own) {
         let Some(address) = process.address.filter(|_| !ended.contains(process)) else {
@@ -483,9 +483,9 @@
 }
 
 /// Processes that have ended and whose names others have taken since.
-async fn ended_namesakes(registry: &Registry) -> BTreeSet<Process> {
+async fn ended_replaced_processes(registry: &Registry) -> BTreeSet<Process> {
     let replaced = registry.replaced_processes().cloned().collect();
-    let namesakes = Namesakes::look(replaced).await;
-    let ended = namesakes.ended.iter();
+    let conflicts = NameConflicts::probe(replaced).await;
+    let ended = conflicts.ended.iter();
     ended.map(|it| Process::of(&it.node)).collect()
 }
--- a/crates/linkhold-gateway/src/state/evidence_questions.rs
+++ b/crates/linkhold-gateway/src/state/evidence_questions.rs
@@ -1,4 +1,4 @@
-//! EvidenceQuestions for evidence that are under way.
+//! Services with a pending question for evidence.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
