--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -201,7 +201,7 @@
                     records,
                 } => {
                     if claims.is_some() {
-                        registration::adopt_lead_records(self.gateway, &records);
+                        registration::adopt_promotion_records(self.gateway, &records);
                     }
                     if let Err(lost) = self.listed(number, claims) {
                         return lost;
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -54,7 +54,7 @@
     let (mut reading, writing) = stream.into_split();
     let writing = Arc::new(tokio::sync::Mutex::new(writing));
     let (arrived, arrival) = watch::channel(None);
-    let _served = gateway.followers.serve();
+    let _served = gateway.followers.start_stream();
     tokio::select! {
         () = tell(gateway, &writing, arrival, key) => {}
         () = hear(gateway, &mut reading, &writing, &arrived, key) => {}
@@ -89,15 +89,15 @@
                 let process = Process::of(&node);
                 let has_arrived = follower.replace(process.clone()).as_ref() != Some(&process);
                 if has_arrived {
-                    let ticket = gateway.followers.arrived(node, number);
+                    let ticket = gateway.followers.add(node, number);
                     arrived.send_replace(Some(Arrival { process, ticket }));
                 } else {
-                    gateway.followers.heard(node, number);
+                    gateway.followers.record_renewal(node, number);
                 }
             }
             FeedMessage::Leaving => {
                 if let Some(process) = &follower {
-                    gateway.followers.left(process);
+                    gateway.followers.remove(process);
                 }
                 return;
             }
--- a/crates/linkhold-gateway/src/fleet.rs
+++ b/crates/linkhold-gateway/src/fleet.rs
@@ -32,7 +32,7 @@
 
 /// Whether the node that reads the registry may be chosen as a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reading {
+pub(crate) enum ReaderCandidacy {
     /// It only looks.
     No,
     /// It reads the store.
@@ -43,13 +43,13 @@
 pub(crate) fn adopt_registry<P: Platform>(
     gateway: &Gateway<P>,
     registry: &Registry,
-    reading: Reading,
+    candidacy: ReaderCandidacy,
 ) -> bool {
     remember_registry(gateway, registry);
-    let members = present_members(gateway, registry, reading);
+    let members = present_members(gateway, registry, candidacy);
     let members: Vec<&Member> = members.values().collect();
     let is_settled = registry.is_settled();
-    let may_fill = is_settled || reading == Reading::Yes;
+    let may_fill = is_settled || candidacy == ReaderCandidacy::Yes;
     let readers = chosen_readers(&gateway.settings.zone_map, &members, may_fill);
     let duty_nodes = duty_nodes(&members, &readers);
     let listed = members
@@ -78,20 +78,20 @@
 fn present_members<P: Platform>(
     gateway: &Gateway<P>,
     registry: &Registry,
-    reading: Reading,
+    candidacy: ReaderCandidacy,
 ) -> BTreeMap<String, Member> {
     let mut present: BTreeMap<String, Member> = registry
-        .present()
+        .present_members()
         .map(|member| (member.registration.node.name.clone(), member.clone()))
         .collect();
-    for registration in gateway.followers.live() {
+    for registration in gateway.followers.present() {
         let name = registration.node.name.clone();
         present.entry(name).or_insert(Member {
             registration,
             reads_since: None,
         });
     }
-    if reading == Reading::Yes {
+    if candidacy == ReaderCandidacy::Yes {
         let own = own_member(gateway);
         present.insert(own.registration.node.name.clone(), own);
     }
@@ -146,7 +146,7 @@
         region,
         zone: &node.zone,
         name: &node.name,
-        reads_since: member.still_reads_since(),
+        reads_since: member.active_reader_since(),
         may_start: may_fill && node.address.is_some(),
         bandwidth: node.bandwidth,
     }
--- a/crates/linkhold-gateway/src/followers.rs
+++ b/crates/linkhold-gateway/src/followers.rs
@@ -22,7 +22,7 @@
 
 use crate::beliefs::lock;
 use crate::lease_format::KnownClaims;
-use crate::registry::{MOST_FOLLOWERS, Process, Registration};
+use crate::registry::{MAX_FOLLOWERS, Process, Registration};
 
 /// Orders the arrival of followers and the writing of rows.
 pub(crate) type Ticket = u64;
@@ -72,15 +72,15 @@
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct FollowerTable {
     followers: BTreeMap<Process, Follower>,
     /// Followers that have come so far.
     arrivals: Ticket,
 }
 
-impl Known {
+impl FollowerTable {
     /// A follower lives.
-    fn heard(&mut self, node: FeedNode, renewal: Option<u64>) -> &mut Follower {
+    fn record_renewal(&mut self, node: FeedNode, renewal: Option<u64>) -> &mut Follower {
         let follower = self
             .followers
             .entry(Process::of(&node))
@@ -97,19 +97,19 @@
 /// Followers, present and former.
 #[derive(Debug)]
 pub(crate) struct Followers {
-    known: Mutex<Known>,
+    table: Mutex<FollowerTable>,
     /// The last arrival that a written row covers.
     listed: watch::Sender<Ticket>,
     /// A row is to be written before its time.
     changed: Notify,
     /// Streams that are open.
-    served: AtomicUsize,
+    open_streams: AtomicUsize,
 }
 
 /// A stream to a follower; counted until it is dropped.
-pub(crate) struct Served<'a>(&'a AtomicUsize);
+pub(crate) struct OpenStream<'a>(&'a AtomicUsize);
 
-impl Drop for Served<'_> {
+impl Drop for OpenStream<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -118,10 +118,10 @@
 impl Default for Followers {
     fn default() -> Self {
         Self {
-            known: Mutex::default(),
+            table: Mutex::default(),
             listed: watch::channel(0).0,
             changed: Notify::new(),
-            served: AtomicUsize::default(),
+            open_streams: AtomicUsize::default(),
         }
     }
 }
@@ -161,41 +161,41 @@
 
 impl Followers {
     /// A stream to a follower is open.
-    pub fn serve(&self) -> Served<'_> {
-        self.served.fetch_add(1, Ordering::Relaxed);
-        Served(&self.served)
+    pub fn start_stream(&self) -> OpenStream<'_> {
+        self.open_streams.fetch_add(1, Ordering::Relaxed);
+        OpenStream(&self.open_streams)
     }
 
     /// Streams to followers that are open.
     pub fn open_streams(&self) -> usize {
-        self.served.load(Ordering::Relaxed)
+        self.open_streams.load(Ordering::Relaxed)
     }
 
     /// A node begins to follow; it is to be listed before it is told anything.
-    pub fn arrived(&self, node: FeedNode, renewal: Option<u64>) -> Ticket {
-        let mut known = lock(&self.known);
-        known.arrivals += 1;
-        let ticket = known.arrivals;
-        known.heard(node, renewal).arrival = Some(ticket);
-        drop(known);
+    pub fn add(&self, node: FeedNode, renewal: Option<u64>) -> Ticket {
+        let mut table = lock(&self.table);
+        table.arrivals += 1;
+        let ticket = table.arrivals;
+        table.record_renewal(node, renewal).arrival = Some(ticket);
+        drop(table);
         self.changed.notify_one();
         ticket
     }
 
     /// A follower lives.
-    pub fn heard(&self, node: FeedNode, renewal: Option<u64>) {
-        lock(&self.known).heard(node, renewal);
+    pub fn record_renewal(&self, node: FeedNode, renewal: Option<u64>) {
+        lock(&self.table).record_renewal(node, renewal);
     }
 
     /// That a written row lists a follower, unless it was told so already.
     pub fn take_listed(&self, process: &Process) -> Option<Listed> {
-        lock(&self.known).followers.get_mut(process)?.listed.take()
+        lock(&self.table).followers.get_mut(process)?.listed.take()
     }
 
     /// A renewal of a follower that came before this node asked others, unless it was
     /// told so already.
     pub fn take_confirmed(&self, process: &Process) -> Option<u64> {
-        lock(&self.known)
+        lock(&self.table)
             .followers
             .get_mut(process)?
             .confirmed
@@ -205,29 +205,29 @@
     /// Others confirmed to this node that it may go on, to a question that was
     /// sent at a moment.
     pub fn record_confirmation(&self, asked_at: Instant) {
-        let mut known = lock(&self.known);
-        let followers = known.followers.values_mut();
+        let mut table = lock(&self.table);
+        let followers = table.followers.values_mut();
         for follower in followers.filter(|follower| follower.heard_at <= asked_at) {
             follower.confirmed = follower.renewal;
         }
     }
 
     /// A follower has ended in good order: nobody needs to wait for its answers.
-    pub fn left(&self, process: &Process) {
-        lock(&self.known).followers.remove(process);
+    pub fn remove(&self, process: &Process) {
+        lock(&self.table).followers.remove(process);
         self.changed.notify_one();
     }
 
     /// Takes over what this node's row listed before it was started again.
     pub fn restore(&self, listed: &[Registration]) {
         let now = Instant::now();
-        let mut known = lock(&self.known);
+        let mut table = lock(&self.table);
         for registration in listed {
             let Some(heard_at) = now.checked_sub(registration.age) else {
                 continue;
             };
             let node = registration.node.clone();
-            known
+            table
                 .followers
                 .entry(Process::of(&node))
                 .or_insert_with(|| Follower::new(node, heard_at));
@@ -235,7 +235,7 @@
     }
 
     /// Followers that count as present.
-    pub fn live(&self) -> Vec<Registration> {
+    pub fn present(&self) -> Vec<Registration> {
         let mut list = self.list().followers;
         list.retain(Registration::is_present);
         list
@@ -243,22 +243,22 @@
 
     /// The number of a follower's last renewal, and when it was heard.
     pub fn last_renewal(&self, process: &Process) -> Option<(u64, Instant)> {
-        let known = lock(&self.known);
-        let follower = known.followers.get(process)?;
+        let table = lock(&self.table);
+        let follower = table.followers.get(process)?;
         Some((follower.renewal?, follower.heard_at))
     }
 
     /// Whether a process follows this one and counts as present.
-    pub fn has_live(&self, process: &Process) -> bool {
-        let known = lock(&self.known);
-        let follower = known.followers.get(process);
+    pub fn has_present(&self, process: &Process) -> bool {
+        let table = lock(&self.table);
+        let follower = table.followers.get(process);
         follower.is_some_and(|follower| follower.registration().is_present())
     }
 
     /// The other processes of a follower's name.
-    pub fn others_of_its_name(&self, process: &Process) -> Vec<Registration> {
-        let known = lock(&self.known);
-        let same_name = known
+    pub fn others_of_name(&self, process: &Process) -> Vec<Registration> {
+        let table = lock(&self.table);
+        let same_name = table
             .followers
             .iter()
             .filter(|(it, _)| it.name == process.name);
@@ -270,15 +270,15 @@
 
     /// What the row is to list: nodes that were heard of long ago are left out.
     pub fn list(&self) -> FollowerList {
-        let mut known = lock(&self.known);
-        known
+        let mut table = lock(&self.table);
+        table
             .followers
-            .retain(|_, follower| follower.registration().is_asked());
-        let mut listed: Vec<&Follower> = known.followers.values().collect();
+            .retain(|_, follower| follower.registration().is_consulted());
+        let mut listed: Vec<&Follower> = table.followers.values().collect();
         listed.sort_by_key(|follower| Reverse(follower.heard_at));
-        if listed.len() > MOST_FOLLOWERS {
+        if listed.len() > MAX_FOLLOWERS {
             log_not_listed(listed.len());
-            listed.truncate(MOST_FOLLOWERS);
+            listed.truncate(MAX_FOLLOWERS);
         }
         let followers = listed.iter().map(|follower| follower.registration());
         let renewals = listed.iter().filter_map(|follower| {
@@ -291,31 +291,31 @@
         FollowerList {
             followers: followers.collect(),
             covers: Covered {
-                ticket: known.arrivals,
+                ticket: table.arrivals,
                 renewals: renewals.collect(),
             },
         }
     }
 
     /// A row is written; `claims` were read since, if it lists arrivals.
-    pub fn written(&self, covered: Covered, claims: Option<KnownClaims>) {
+    pub fn record_written_row(&self, covered: Covered, claims: Option<KnownClaims>) {
         let claims = claims.map(Arc::new);
-        let mut known = lock(&self.known);
+        let mut table = lock(&self.table);
         for renewal in covered.renewals {
-            let Some(follower) = known.followers.get_mut(&renewal.process) else {
+            let Some(follower) = table.followers.get_mut(&renewal.process) else {
                 continue;
             };
-            let told_later = follower.listed.take().and_then(|listed| listed.claims);
+            let pending_claims = follower.listed.take().and_then(|listed| listed.claims);
             let new_claims = claims.clone().filter(|_| renewal.arrival.is_some());
             if new_claims.is_some() && follower.arrival == renewal.arrival {
                 follower.arrival = None;
             }
             follower.listed = Some(Listed {
                 number: renewal.number,
-                claims: new_claims.or(told_later),
+                claims: new_claims.or(pending_claims),
             });
         }
-        drop(known);
+        drop(table);
         self.listed.send_replace(covered.ticket);
     }
 
@@ -335,6 +335,6 @@
 fn log_not_listed(followers: usize) {
     Event::warn("followers_not_listed")
         .field("followers", followers)
-        .field("listed", MOST_FOLLOWERS)
+        .field("listed", MAX_FOLLOWERS)
         .log();
 }
--- a/crates/linkhold-gateway/src/name_conflicts.rs
+++ b/crates/linkhold-gateway/src/name_conflicts.rs
@@ -1,8 +1,9 @@
-//! Which process has a node's name.
+//! Conflicts between processes that claim the same node name.
 //!
-//! A process that stood still may wake and speak for primaries on a permission that lasts.
-//! Until that has run out it has to be asked before a primary is replaced, so another
-//! process is not listed under its name before, unless the first has certainly ended.
+//! A process that was paused may resume while its permission to acknowledge for primaries
+//! is still valid. Until that permission expires, the process must be asked before a
+//! primary is replaced, so no other process is listed under its name unless the first one
+//! has certainly ended.
 
 use std::time::Duration;
 
@@ -16,19 +17,19 @@
 use crate::ports::Platform;
 use crate::registry::{Process, Registration};
 
-/// Processes of a name that may still run, and those that have ended.
+/// Processes of one name, grouped by whether they may still run.
 #[derive(Debug, Default)]
 pub(crate) struct NameConflicts {
-    /// Those that may run and count as nodes of the fleet: they have the name.
+    /// Processes that may run and count as nodes of the fleet: they hold the name.
     pub holders: Vec<Registration>,
-    /// Those that may run and counted lately.
+    /// Processes that may run and counted as nodes until recently.
     pub former: Vec<Registration>,
-    /// Those that have ended.
+    /// Processes that have ended.
     pub ended: Vec<Registration>,
 }
 
 impl NameConflicts {
-    /// Looks which of some processes still run.
+    /// Probes which of the processes may still run.
     pub async fn probe(processes: Vec<Registration>) -> Self {
         let may_run = join_all(processes.iter().map(|process| may_run(&process.node))).await;
         let mut conflicts = Self::default();
@@ -37,14 +38,15 @@
                 conflicts.ended.push(process);
             } else if process.is_present() {
                 conflicts.holders.push(process);
-            } else if process.is_asked() {
+            } else if process.is_consulted() {
                 conflicts.former.push(process);
             }
         }
         conflicts
     }
 
-    /// Whether another process has the name of one that would be listed; logs that.
+    /// Whether another process holds the name of a process that waits to be listed; logs
+    /// the conflict.
     pub fn is_name_held(&self, waiting: &Process) -> bool {
         let Some(holder) = self.holders.first() else {
             return false;
@@ -59,30 +61,30 @@
     }
 }
 
-/// Whether a node that would follow this one has to wait, since another process of its
+/// Whether a node that wants to follow this one has to wait because another process of its
 /// name is listed and may still run.
 pub(crate) async fn is_name_held_by_another<P: Platform>(
     gateway: &Gateway<P>,
     node: &FeedNode,
 ) -> bool {
     let process = Process::of(node);
-    if gateway.followers.has_live(&process) {
+    if gateway.followers.has_present(&process) {
         return false;
     }
-    let mut others = gateway.followers.others_of_its_name(&process);
-    others.extend(gateway.fleet.others_of_its_name(&process));
+    let mut others = gateway.followers.others_of_name(&process);
+    others.extend(gateway.fleet.others_of_name(&process));
     others.extend(own_conflict(gateway, &process));
     if others.is_empty() {
         return false;
     }
     let conflicts = NameConflicts::probe(others).await;
     for ended in &conflicts.ended {
-        gateway.followers.left(&Process::of(&ended.node));
+        gateway.followers.remove(&Process::of(&ended.node));
     }
     conflicts.is_name_held(&process)
 }
 
-/// This process, if another one has its name.
+/// This process, if the other one has its name and another address.
 fn own_conflict<P: Platform>(gateway: &Gateway<P>, other: &Process) -> Option<Registration> {
     let own = fleet::own_node(gateway);
     let is_conflict = own.name == other.name && own.address != other.address;
@@ -92,8 +94,9 @@
     })
 }
 
-/// Whether a process may still run. One that nobody can ask has no permission to speak for
-/// primaries, and a machine that refuses connections runs none.
+/// Whether a process may still run and hold a permission. A process without an address
+/// cannot be asked, so it has no permission to acknowledge for primaries; a machine that
+/// refuses connections runs no process there.
 async fn may_run(node: &FeedNode) -> bool {
     match node.address {
         Some(address) => liveness::probe(address).await != ProcessState::Ended,
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -1,8 +1,8 @@
-//! Registers nodes in the metadata store and keeps the view of the fleet.
+//! Registers nodes in the metadata store and refreshes the view of the fleet.
 //!
-//! A node that reads the store renews its row at an interval; one that was not
-//! renewed for long on the store's clock is gone. Followers of a reader tell it
-//! that they live, and its row lists them ([`crate::registry`]).
+//! A node that reads the store renews its row at an interval; a row that was not
+//! renewed for long on the store's clock expires. Followers send renewals to their
+//! reader, and its row lists them ([`crate::registry`]).
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,35 +19,35 @@
 use tokio::time::{sleep, timeout_at};
 
 use crate::failover;
-use crate::fleet::{self, Reading};
+use crate::fleet::{self, ReaderCandidacy};
 use crate::gateway::Gateway;
 use crate::name_conflicts::NameConflicts;
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
 use crate::registry::{self, ERA_ROW, EraRow, PEER_KEY_ROW, Process, Registry};
 use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, with_timeout};
 
-/// Pause before registering is tried again after a failure, at the least.
-const RETRY_INTERVAL: Duration = Duration::from_millis(700);
-/// Longest pause after a failure while nothing tells that the store is back.
-const LONGEST_RETRY: Duration = Duration::from_millis(2_500);
-/// When a node that has just registered looks at the fleet again.
-const SECOND_LOOK: Duration = Duration::from_millis(400);
-/// When a reader looks at the fleet again while it changes: followers are told
-/// of each other that soon.
-const CHANGING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Followers that come closer together are listed in one call.
-const GATHER_TIME: Duration = Duration::from_millis(60);
-/// How long a node that stops waits for its row to be removed.
+/// Minimum pause before registration is retried after a failure.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(700);
+/// Maximum further pause after a failure while no other call of this node is answered.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(2_500);
+/// When a node that has just registered reads the fleet again.
+const FIRST_REREAD_DELAY: Duration = Duration::from_millis(400);
+/// How often a reader reads the fleet while it changes: followers learn of each other
+/// within this time.
+const CHANGING_FLEET_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Followers that arrive within this time are listed in one call.
+const ARRIVAL_BATCH_TIME: Duration = Duration::from_millis(60);
+/// How long a stopping node waits for its row to be removed.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long the word of a follower that stops takes to go out.
-const FAREWELL_TIME: Duration = Duration::from_millis(30);
-/// How long reading them may take: a primary waits to be replaced.
+/// How long a stopping follower waits for its leave notice to be sent.
+const LEAVE_NOTICE_TIME: Duration = Duration::from_millis(30);
+/// How long listing all nodes may take: the replacement of a primary waits for it.
 const LIST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes of the key between nodes.
+/// Length of the key between nodes, in bytes.
 const PEER_KEY_LENGTH: usize = 32;
 
-/// Keeps this node registered, and its view of the fleet fresh, whenever it
-/// reads the store. Runs until the node leaves.
+/// Renews this node's registration and its view of the fleet while it reads the store.
+/// Runs until the node leaves.
 pub(crate) async fn keep_registered<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut is_first = true;
     loop {
@@ -55,38 +55,38 @@
         if gateway.is_leaving() {
             break;
         }
-        let pause = match register(&gateway).await {
-            // Nodes that start together see each other at the second look.
-            Ok(_) if std::mem::take(&mut is_first) => SECOND_LOOK,
-            Ok(has_changed) => pause(&gateway, has_changed),
+        let pause = match renew_and_read_fleet(&gateway).await {
+            // Nodes that start together see each other in the second read.
+            Ok(_) if std::mem::take(&mut is_first) => FIRST_REREAD_DELAY,
+            Ok(has_changed) => next_read_pause(&gateway, has_changed),
             Err(error) => {
-                failed(&gateway, error).await;
+                wait_after_failure(&gateway, error).await;
                 continue;
             }
         };
         let until = Instant::now() + pause.mul_f64(rand::random_range(0.8..1.2));
-        list_arrivals(&gateway, until).await;
+        list_new_followers(&gateway, until).await;
     }
-    // Nobody is to choose it as a reader any more.
+    // No node should choose this one as a reader any more.
     gateway.fleet.give_up_reading();
     if let Err(error) = write_row(&gateway).await {
         log_failure(&gateway, error);
     }
 }
 
-/// How soon the fleet is looked at again.
-fn pause<P: Platform>(gateway: &Gateway<P>, has_changed: bool) -> Duration {
+/// The pause before the fleet is read again.
+fn next_read_pause<P: Platform>(gateway: &Gateway<P>, has_changed: bool) -> Duration {
     if !gateway.fleet.is_settled() {
-        return CHANGING_INTERVAL;
+        return CHANGING_FLEET_INTERVAL;
     }
     match (gateway.fleet.has_readers(), has_changed) {
-        (true, true) => CHANGING_INTERVAL,
+        (true, true) => CHANGING_FLEET_INTERVAL,
         (true, false) => readers::FOLLOWER_RENEWAL,
         (false, _) => readers::RENEWAL,
     }
 }
 
-/// Logs that the row could not be written or the fleet not be read.
+/// Counts and logs a failure to write the row or to read the fleet.
 pub(crate) fn log_failure<P: Platform>(gateway: &Gateway<P>, error: StoreError) {
     gateway.metrics.store_failures.add();
     Event::info("registration_failed")
@@ -94,53 +94,57 @@
         .log();
 }
 
-/// Waits after a failure until the store answers others of this node's calls, or
-/// for so long that it is worth another try.
-async fn failed<P: Platform>(gateway: &Gateway<P>, error: StoreError) {
+/// Waits after a failure until the store answers another call of this node, at most
+/// [`MAX_RETRY_PAUSE`] after the minimum pause.
+async fn wait_after_failure<P: Platform>(gateway: &Gateway<P>, error: StoreError) {
     log_failure(gateway, error);
     let spread = rand::random_range(0.8..1.2);
-    sleep(RETRY_INTERVAL.mul_f64(spread)).await;
+    sleep(MIN_RETRY_PAUSE.mul_f64(spread)).await;
     gateway
         .sources
-        .wait_for_store(LONGEST_RETRY.mul_f64(spread))
+        .wait_for_store(MAX_RETRY_PAUSE.mul_f64(spread))
         .await;
 }
 
-/// Lists followers that come before `until`.
-async fn list_arrivals<P: Platform>(gateway: &Gateway<P>, until: Instant) {
+/// Lists followers that arrive before `until`.
+async fn list_new_followers<P: Platform>(gateway: &Gateway<P>, until: Instant) {
     while timeout_at(until.into(), gateway.followers.changed())
         .await
         .is_ok()
     {
-        sleep(GATHER_TIME).await;
+        sleep(ARRIVAL_BATCH_TIME).await;
         if !gateway.sources.is_reading() || gateway.is_leaving() {
             return;
         }
         if let Err(error) = write_row(gateway).await {
-            failed(gateway, error).await;
+            wait_after_failure(gateway, error).await;
             return;
         }
     }
 }
 
-/// Renews this node's row and reads the fleet; whether it has changed.
-async fn register<P: Platform>(gateway: &Gateway<P>) -> Result<bool, StoreError> {
-    // Rows are renewed first: what is read then holds this node.
-    enlist(gateway).await?;
+/// Renews this node's row and reads the fleet. Returns whether the fleet has changed.
+async fn renew_and_read_fleet<P: Platform>(gateway: &Gateway<P>) -> Result<bool, StoreError> {
+    // The row is written first, so that the rows read next include this node.
+    register(gateway).await?;
     let registry = read_registry(gateway, CallReason::Fleet).await?;
-    gateway.own_row.read(registry.own_version);
-    write_what_is_lost(gateway, &registry).await?;
-    Ok(fleet::adopt_registry(gateway, &registry, Reading::Yes))
+    gateway.own_row.set_version(registry.own_version);
+    restore_lost_rows(gateway, &registry).await?;
+    Ok(fleet::adopt_registry(
+        gateway,
+        &registry,
+        ReaderCandidacy::Yes,
+    ))
 }
 
-/// Writes what all nodes share and a store that came back from an older copy lacks: the
-/// key between them, and since when they know of the copy.
-async fn write_what_is_lost<P: Platform>(
+/// Writes the shared rows that a store restored from an older copy lacks: the key between
+/// nodes, and since when nodes know of the store's new era.
+async fn restore_lost_rows<P: Platform>(
     gateway: &Gateway<P>,
     registry: &Registry,
 ) -> Result<(), StoreError> {
     let mut rows = Vec::new();
-    if registry.lacks_era() {
+    if registry.is_era_row_outdated() {
         rows.push(era_row(registry.era, registry.now, registry.era_version)?);
     }
     let lost_key = gateway.fleet.key().filter(|_| registry.key.is_none());
@@ -171,30 +175,31 @@
     })
 }
 
-/// Writes this node's row, which may be its first.
-pub(crate) async fn enlist<P: Platform>(gateway: &Gateway<P>) -> Result<(), StoreError> {
+/// Writes this node's row, for the first time if necessary. Reads the fleet and obtains the
+/// peer key before if they are unknown.
+pub(crate) async fn register<P: Platform>(gateway: &Gateway<P>) -> Result<(), StoreError> {
     if gateway.fleet.store_time().is_none() {
-        look(gateway).await?;
+        read_fleet(gateway).await?;
     }
     if gateway.fleet.key().is_none() {
-        let key = shared_key(gateway).await?;
+        let key = obtain_peer_key(gateway).await?;
         gateway.fleet.set_key(key);
     }
     write_row(gateway).await
 }
 
-/// Times that a row is written in a call: once more if a write of this node's own, which
-/// had got no answer, came in between.
-const WRITE_TRIES: usize = 2;
+/// How often a row is written in one call: a second time if an earlier, unanswered write of
+/// this node took effect in between.
+const MAX_WRITE_ATTEMPTS: usize = 2;
 
-/// Writes this node's own row under the condition that no other process has written it.
-async fn write_own<P: Platform>(
+/// Writes this node's own row on condition that no other process has written it.
+async fn write_own_row<P: Platform>(
     gateway: &Gateway<P>,
     row: &registry::NewRow,
     own: &Process,
 ) -> Result<(), StoreError> {
-    for _ in 0..WRITE_TRIES {
-        let version = own_version(gateway, &row.key, own).await?;
+    for _ in 0..MAX_WRITE_ATTEMPTS {
+        let version = own_row_version(gateway, &row.key, own).await?;
         let rows = [RowWrite {
             table: FleetTable::Nodes,
             key: &row.key,
@@ -204,18 +209,19 @@
         let call = gateway.platform.write_rows(&rows);
         gateway.metrics.store_calls.count(CallReason::Register);
         if let WriteResult::Written(version) = with_timeout(call, CALL_TIMEOUT).await? {
-            gateway.own_row.written();
-            // If it is not that, the next write is refused, and the row is read.
-            gateway.own_row.read(version);
+            gateway.own_row.mark_written();
+            // If this version is stale, the next write conflicts and the row is read.
+            gateway.own_row.set_version(version);
             return Ok(());
         }
     }
     Err(StoreError::Refused)
 }
 
-/// The version of this node's own row, which is read if it is not known. A row that
-/// another process has written since this one did means that the others ask that one.
-async fn own_version<P: Platform>(
+/// Returns the version of this node's own row, reading it if unknown. If another process
+/// has written the row since, other nodes ask that process instead: the permission is
+/// revoked and the result is `Refused`.
+async fn own_row_version<P: Platform>(
     gateway: &Gateway<P>,
     key: &str,
     own: &Process,
@@ -242,15 +248,15 @@
     Ok(registry.own_version)
 }
 
-/// Makes sure that no other process has this node's name, wherever it is listed; the
-/// version of the node's own row. One that had the name lately stays listed as a follower
-/// of this node: it may speak for primaries by what others confirm to it.
+/// Claims this node's name; refused while another process holds it in any row. Returns the
+/// version of the node's own row. A process that held the name recently stays listed as a
+/// follower of this node: confirmations may still let it acknowledge for primaries.
 async fn claim_name<P: Platform>(
     gateway: &Gateway<P>,
     own: &Process,
 ) -> Result<StorePlace, StoreError> {
     let registry = read_registry(gateway, CallReason::Register).await?;
-    let others = registry.other_processes(own).cloned().collect();
+    let others = registry.other_processes_of_name(own).cloned().collect();
     let conflicts = NameConflicts::probe(others).await;
     if conflicts.is_name_held(own) {
         return Err(StoreError::Refused);
@@ -259,36 +265,36 @@
     Ok(registry.own_version)
 }
 
-/// Writes the row of this node and of those that follow it, under the condition that
-/// nobody has written it since it was read: a write without an answer that is done
-/// seconds later would take followers off the list that came meanwhile. Whoever is listed anew
-/// learns which leases were claimed by then: it was not asked under these.
+/// Writes the row of this node and its followers, on condition that the row is unchanged
+/// since it was read: an unanswered write that takes effect seconds later would remove
+/// followers that arrived meanwhile. Newly listed nodes learn which leases were claimed by
+/// then, because they were not asked to agree under these leases.
 async fn write_row<P: Platform>(gateway: &Gateway<P>) -> Result<(), StoreError> {
-    let _writing = gateway.own_row.turn_to_write().await;
-    // What is counted from here is older than the row says, never younger.
+    let _writing = gateway.own_row.lock_for_write().await;
+    // Taken first: a renewal counted from here is older than the row says, never younger.
     let sent_at = Instant::now();
-    // The clock is known from the first look.
+    // The first read of the fleet sets the clock.
     let now = gateway.fleet.store_time().ok_or(StoreError::NoAnswer)?;
     let own = fleet::own_node(gateway);
     let process = Process::of(&own);
     if !gateway.own_row.was_written() {
-        // Who had the name before is listed with it.
+        // The row then lists the former processes of this name.
         let version = claim_name(gateway, &process).await?;
-        gateway.own_row.read(version);
+        gateway.own_row.set_version(version);
     }
     let list = gateway.followers.list();
     let reads_since = gateway.fleet.reads_since();
     let is_reached = own.address.is_some() || gateway.settings.peer_address.is_none();
     let row = registry::encode_row(own, reads_since, &list.followers, now)?;
-    write_own(gateway, &row, &process).await?;
+    write_own_row(gateway, &row, &process).await?;
     if !is_reached {
-        // Nobody can ask it.
+        // Other nodes cannot ask this one, so it gets no permission.
         return Ok(());
     }
     let renewed = gateway.beliefs.permission.record_renewal(sent_at);
     let claims = if renewed == Renewed::ToBeAdmitted || list.covers.has_arrivals() {
         let known = failover::recent_claims(gateway).await?;
-        adopt_lead_records(gateway, &known.records);
+        adopt_promotion_records(gateway, &known.records);
         Some(known)
     } else {
         None
@@ -297,7 +303,7 @@
         let claims = claims.as_ref().map_or(&[][..], |known| &known.claims);
         gateway.beliefs.permission.record_admission(sent_at, claims);
     }
-    gateway.followers.written(list.covers, claims);
+    gateway.followers.record_written_row(list.covers, claims);
     Ok(())
 }
 
@@ -327,42 +333,44 @@
     Ok(Registry::decode(&rows, asked_at, &gateway.settings.node))
 }
 
-/// Looks at the fleet without being a part of it yet.
-pub(crate) async fn look<P: Platform>(gateway: &Gateway<P>) -> Result<(), StoreError> {
+/// Reads the fleet without being a part of it yet.
+pub(crate) async fn read_fleet<P: Platform>(gateway: &Gateway<P>) -> Result<(), StoreError> {
     let registry = read_registry(gateway, CallReason::Look).await?;
-    fleet::adopt_registry(gateway, &registry, Reading::No);
+    fleet::adopt_registry(gateway, &registry, ReaderCandidacy::No);
     Ok(())
 }
 
-/// Takes this node out of the fleet, so that nobody waits for its answers.
+/// Removes this node from the fleet, so that other nodes do not wait for its answers.
 pub(crate) async fn deregister<P: Platform>(gateway: &Gateway<P>) {
     if gateway.sources.is_following() {
         gateway.reader_link.send(FeedMessage::Leaving);
-        sleep(FAREWELL_TIME).await;
+        sleep(LEAVE_NOTICE_TIME).await;
         return;
     }
     if !gateway.own_row.was_written() {
         return;
     }
-    if let Err(error) = with_timeout(withdraw_row(gateway), DEREGISTER_TIMEOUT).await {
-        // Without it, the row expires by itself.
+    if let Err(error) = with_timeout(withdraw_own_row(gateway), DEREGISTER_TIMEOUT).await {
+        // The row expires by itself.
         log_failure(gateway, error);
     }
 }
 
-/// Removes this node's own row. Followers that no other row lists may stand still and speak
-/// for primaries when they wake: as long as they are to be asked, the row lists them alone.
-async fn withdraw_row<P: Platform>(gateway: &Gateway<P>) -> Result<WriteResult, StoreError> {
+/// Removes this node's own row. Followers that no other row lists may be paused processes
+/// that acknowledge for primaries when they resume: while they must be consulted, the row
+/// stays and lists only them.
+async fn withdraw_own_row<P: Platform>(gateway: &Gateway<P>) -> Result<WriteResult, StoreError> {
     let own = fleet::own_node(gateway);
     let key = registry::row_key(&own.zone, &own.name);
-    let version = own_version(gateway, &key, &Process::of(&own)).await?;
+    let version = own_row_version(gateway, &key, &Process::of(&own)).await?;
     let mut followers = gateway.followers.list().followers;
     if !followers.is_empty() {
         let others = read_other_rows(gateway, &key).await?;
         followers.retain(|follower| !others.lists_as_present(&Process::of(&follower.node)));
     }
     gateway.metrics.store_calls.count(CallReason::Remove);
-    // What is done late changes no row that this node's next life has written.
+    // The version check keeps a late removal from changing a row that the next process of
+    // this node has written.
     if followers.is_empty() {
         let removal = gateway
             .platform
@@ -370,7 +378,7 @@
         return removal.await;
     }
     let now = gateway.fleet.store_time().ok_or(StoreError::NoAnswer)?;
-    let row = registry::encode_followers_alone(own, &followers, now)?;
+    let row = registry::encode_followers_only(own, &followers, now)?;
     let rows = [RowWrite {
         table: FleetTable::Nodes,
         key: &row.key,
@@ -380,8 +388,8 @@
     gateway.platform.write_rows(&rows).await
 }
 
-/// Takes in what the store keeps of earlier promotions.
-pub(crate) fn adopt_lead_records<P: Platform>(
+/// Adopts the store's records of earlier promotions.
+pub(crate) fn adopt_promotion_records<P: Platform>(
     gateway: &Gateway<P>,
     records: &[(ServiceName, LeadRecord)],
 ) {
@@ -396,7 +404,7 @@
     gateway.lead_records.replace(records);
 }
 
-/// Reads all rows but one.
+/// Reads all rows except the row with a key.
 async fn read_other_rows<P: Platform>(
     gateway: &Gateway<P>,
     key: &str,
@@ -409,8 +417,8 @@
     Ok(Registry::decode(&rows, asked_at, &gateway.settings.node))
 }
 
-/// The key between nodes; made by whichever node comes first.
-async fn shared_key<P: Platform>(gateway: &Gateway<P>) -> Result<PeerKey, StoreError> {
+/// Returns the key between nodes; the first node that writes one creates it.
+async fn obtain_peer_key<P: Platform>(gateway: &Gateway<P>) -> Result<PeerKey, StoreError> {
     let own: [u8; PEER_KEY_LENGTH] = rand::random();
     let key = RowWrite {
         table: FleetTable::Nodes,
@@ -433,8 +441,8 @@
     }
 }
 
-/// Tells that the store ran on its era when the first node ever started: no node can have
-/// been lost with an earlier one.
+/// Records that the store was already in its present era when the first node ever started:
+/// no node can have been lost with an earlier era.
 async fn write_first_era<P: Platform>(gateway: &Gateway<P>) -> Result<(), StoreError> {
     let era = gateway.store_era.latest();
     if era == Era::default() {
@@ -446,15 +454,16 @@
     with_timeout(call, CALL_TIMEOUT).await.map(|_| ())
 }
 
-/// Addresses of the other nodes, as the store lists them.
+/// Addresses of the other nodes listed in the store.
 pub(crate) struct ListedNodes {
-    /// Nodes whose rows count.
+    /// Nodes that count as present.
     pub present: Vec<SocketAddr>,
-    /// Nodes whose rows expired lately.
+    /// Nodes whose entries expired recently.
     pub former: Vec<SocketAddr>,
 }
 
-/// Reads all other nodes from the store, however many they are.
+/// Reads all other nodes from the store, however many there are. Fails with `OtherEra` if a
+/// restored store may lack nodes.
 pub(crate) async fn list_nodes<P: Platform>(
     gateway: &Gateway<P>,
 ) -> Result<ListedNodes, StoreError> {
@@ -475,14 +484,14 @@
         };
         if registration.is_present() {
             listed.present.push(address);
-        } else if registration.is_asked() {
+        } else if registration.is_consulted() {
             listed.former.push(address);
         }
     }
     Ok(listed)
 }
 
-/// Processes that have ended and whose names others have taken since.
+/// Processes that have ended and whose names other processes have taken since.
 async fn ended_replaced_processes(registry: &Registry) -> BTreeSet<Process> {
     let replaced = registry.replaced_processes().cloned().collect();
     let conflicts = NameConflicts::probe(replaced).await;
--- a/crates/linkhold-gateway/src/registry.rs
+++ b/crates/linkhold-gateway/src/registry.rs
@@ -26,7 +26,7 @@
 /// Followers that [`encode_row`] takes, at the most: rows hold 64 KiB, an entry takes
 /// up to 50 bytes once they are packed. A reader has 100 followers for long, and those of
 /// a fleet that starts, which finds few readers first, for some seconds.
-pub const MOST_FOLLOWERS: usize = 1_200;
+pub const MAX_FOLLOWERS: usize = 1_200;
 
 /// Since when nodes know of the store's era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
     }
 
     /// Whether it is asked before a primary is replaced: it counts, or did lately.
-    pub fn is_asked(&self) -> bool {
+    pub fn is_consulted(&self) -> bool {
         self.age < ROW_EXPIRY + FORMER_TIME
     }
 }
@@ -167,7 +167,7 @@
 
 /// The row of a node that has left, with those of its followers that are still to be asked,
 /// written at `now` on the store's clock.
-pub fn encode_followers_alone(
+pub fn encode_followers_only(
     own: FeedNode,
     followers: &[Registration],
     now: u64,
@@ -189,25 +189,25 @@
         .collect();
     Ok(NewRow {
         key: row_key(&row.zone, &row.name),
-        value: packed(serde_json::to_vec(&row).map_err(|_| StoreError::Malformed)?),
+        value: pack_if_large(serde_json::to_vec(&row).map_err(|_| StoreError::Malformed)?),
     })
 }
 
 /// Rows from this length on are packed, in bytes: all nodes that start read all rows. That
 /// of a reader with thirty followers shrinks to a sixth.
-const PACKED_FROM: usize = 2_048;
+const PACKING_THRESHOLD: usize = 2_048;
 /// What a row that is not packed begins with.
-const OBJECT_START: u8 = b'{';
+const JSON_OBJECT_START: u8 = b'{';
 
-fn packed(row: Vec<u8>) -> Vec<u8> {
-    if row.len() < PACKED_FROM {
+fn pack_if_large(row: Vec<u8>) -> Vec<u8> {
+    if row.len() < PACKING_THRESHOLD {
         return row;
     }
     linkhold_peer::pack(&row)
 }
 
-fn unpacked(value: &[u8]) -> Cow<'_, [u8]> {
-    if value.first() == Some(&OBJECT_START) {
+fn unpack_if_packed(value: &[u8]) -> Cow<'_, [u8]> {
+    if value.first() == Some(&JSON_OBJECT_START) {
         return Cow::Borrowed(value);
     }
     // What cannot be unpacked cannot be read as a row either.
@@ -230,7 +230,7 @@
     }
 
     /// When it took up reading for others, if it still does.
-    pub fn still_reads_since(&self) -> Option<u64> {
+    pub fn active_reader_since(&self) -> Option<u64> {
         self.reads_since
             .filter(|_| self.registration.age < READER_EXPIRY)
     }
@@ -288,15 +288,15 @@
                 registry.era_row = serde_json::from_slice(&row.value).ok();
                 registry.era_version = row.version;
             } else {
-                registry.take(row, own);
+                registry.add_row(row, own);
             }
         }
         registry
     }
 
-    fn take(&mut self, row: &StoredRow, own: &str) {
+    fn add_row(&mut self, row: &StoredRow, own: &str) {
         let version = row.version;
-        let row: NodeRow = match serde_json::from_slice(&unpacked(&row.value)) {
+        let row: NodeRow = match serde_json::from_slice(&unpack_if_packed(&row.value)) {
             Ok(row) => row,
             Err(error) => {
                 Event::warn("node_row_unreadable")
@@ -350,7 +350,10 @@
     }
 
     /// The other processes of a process's name.
-    pub fn other_processes(&self, process: &Process) -> impl Iterator<Item = &Registration> {
+    pub fn other_processes_of_name(
+        &self,
+        process: &Process,
+    ) -> impl Iterator<Item = &Registration> {
         let is_other = |it: &Process| it.name == process.name && it.address != process.address;
         let processes = self.processes.iter();
         processes
@@ -371,7 +374,7 @@
     }
 
     /// Whether the row of the store's era is to be written: it tells of another one.
-    pub fn lacks_era(&self) -> bool {
+    pub fn is_era_row_outdated(&self) -> bool {
         let told = self.era_row.map(|row| Era(row.era));
         self.era != Era::default() && told != Some(self.era)
     }
@@ -381,11 +384,11 @@
     pub fn may_lack_nodes(&self) -> bool {
         let expiry = milliseconds(ROW_EXPIRY);
         let is_new = |row: EraRow| row.since > 0 && self.now < row.since + expiry;
-        self.lacks_era() || self.era_row.is_some_and(is_new)
+        self.is_era_row_outdated() || self.era_row.is_some_and(is_new)
     }
 
     /// Nodes that count.
-    pub fn present(&self) -> impl Iterator<Item = &Member> {
+    pub fn present_members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.is_present())
     }
 
@@ -393,7 +396,7 @@
     /// together are listed. It may not read any more: all nodes may have been
     /// stopped at once.
     pub fn is_settled(&self) -> bool {
-        let since = self.present().filter_map(|it| it.reads_since);
+        let since = self.present_members().filter_map(|it| it.reads_since);
         let settling = milliseconds(SETTLING_TIME);
         since.min().is_some_and(|since| since + settling < self.now)
     }
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -69,7 +69,7 @@
 
 async fn look_until_answered<P: Platform>(gateway: &Gateway<P>) {
     let mut pause = FIRST_START_PAUSE;
-    while let Err(error) = registration::look(gateway).await {
+    while let Err(error) = registration::read_fleet(gateway).await {
         log_look_failure(gateway, error);
         sleep(pause.mul_f64(rand::random_range(0.5..1.5))).await;
         pause = (pause * 2).min(LONGEST_START_PAUSE);
@@ -86,7 +86,7 @@
     gateway.fleet.take_up_reading(fleet::own_node(gateway));
     // Whoever replaces a primary asks those who are listed.
     if !gateway.sources.is_reading()
-        && let Err(error) = registration::enlist(gateway).await
+        && let Err(error) = registration::register(gateway).await
     {
         registration::log_failure(gateway, error);
         sleep(RECONNECT_PAUSE.mul_f64(rand::random_range(0.5..1.5))).await;
@@ -167,7 +167,7 @@
     }
 
     async fn look<P: Platform>(&mut self, gateway: &Gateway<P>) {
-        let looked = registration::look(gateway).await;
+        let looked = registration::read_fleet(gateway).await;
         match looked {
             // Other readers may be listed now.
             Ok(()) => self.order.clear(),
@@ -179,7 +179,7 @@
     }
 
     async fn read_alone<P: Platform>(&mut self, gateway: &Gateway<P>) {
-        if let Err(error) = registration::enlist(gateway).await {
+        if let Err(error) = registration::register(gateway).await {
             registration::log_failure(gateway, error);
         }
         gateway.sources.read(ReadReason::NoReaderTrusted);
--- a/crates/linkhold-gateway/src/state/fleet.rs
+++ b/crates/linkhold-gateway/src/state/fleet.rs
@@ -309,7 +309,7 @@
     }
 
     /// The other processes of a name that the rows listed when they were read last.
-    pub fn others_of_its_name(&self, process: &Process) -> Vec<Registration> {
+    pub fn others_of_name(&self, process: &Process) -> Vec<Registration> {
         let view = lock(&self.view);
         let since = view
             .processes_as_of
@@ -344,7 +344,7 @@
         let own = registry.members.get(own_name);
         let is_listed = own.is_some_and(Member::is_present);
         view.was_listed.get_or_insert(is_listed);
-        let reads_since = own.and_then(Member::still_reads_since);
+        let reads_since = own.and_then(Member::active_reader_since);
         view.reads_since = view.reads_since.or(reads_since);
     }
 
--- a/crates/linkhold-gateway/src/state/own_row.rs
+++ b/crates/linkhold-gateway/src/state/own_row.rs
@@ -21,17 +21,17 @@
 
 impl OwnRow {
     /// Waits for its turn to write the row, which lasts until this is dropped.
-    pub async fn turn_to_write(&self) -> MutexGuard<'_, ()> {
+    pub async fn lock_for_write(&self) -> MutexGuard<'_, ()> {
         self.writing.lock().await
     }
 
     /// The row was read with this version; the default if it is not there.
-    pub fn read(&self, version: StorePlace) {
+    pub fn set_version(&self, version: StorePlace) {
         *lock(&self.version) = Some(version);
     }
 
     /// This process has written it.
-    pub fn written(&self) {
+    pub fn mark_written(&self) {
         self.was_written.store(true, Ordering::Relaxed);
     }
 
--- a/crates/linkhold-gateway/tests/registry.rs
+++ b/crates/linkhold-gateway/tests/registry.rs
@@ -53,7 +53,7 @@
     let age = |name: &str| known.members[name].registration.age;
     assert_eq!(age("f"), Duration::from_millis(1_500));
     assert_eq!(age("r-2"), Duration::from_millis(3_000));
-    assert_eq!(known.present().count(), 3);
+    assert_eq!(known.present_members().count(), 3);
 }
 
 #[test]
@@ -63,8 +63,8 @@
         row("r-2", Some(0), &[follower("r-1", 0)], 21_000),
     ];
     let known = registry(rows, 21_000);
-    assert_eq!(known.members["r-1"].still_reads_since(), None);
-    assert_eq!(known.members["r-2"].still_reads_since(), Some(0));
+    assert_eq!(known.members["r-1"].active_reader_since(), None);
+    assert_eq!(known.members["r-2"].active_reader_since(), Some(0));
 }
 
 #[test]
@@ -73,7 +73,7 @@
     let known = registry(rows, 22_000);
     assert!(known.members.contains_key("f"));
     let present: Vec<&str> = known
-        .present()
+        .present_members()
         .map(|it| it.registration.node.name.as_str())
         .collect();
     assert_eq!(present, ["r-1"]);
@@ -95,7 +95,7 @@
 fn a_fleet_is_known_whole_after_all_its_nodes_were_stopped_for_seconds() {
     let rows = || vec![row("r-1", Some(1_000), &[follower("f", 0)], 20_000)];
     let stopped = registry(rows(), 28_000);
-    assert_eq!(stopped.members["r-1"].still_reads_since(), None);
+    assert_eq!(stopped.members["r-1"].active_reader_since(), None);
     assert!(stopped.is_settled());
     // Its rows have expired: any number of nodes may have been replaced.
     assert!(!registry(rows(), 40_000).is_settled());
