--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -214,8 +214,8 @@
 ) -> Option<ListMoment> {
     let moment = gateway.beliefs.directory_as_of()?;
     let process = arrival.borrow().as_ref()?.process.clone();
-    let (renewal, heard_at) = gateway.followers.last_renewal(&process)?;
-    Some(ListMoment::new(moment, renewal, heard_at))
+    let (renewal, renewed_at) = gateway.followers.last_renewal(&process)?;
+    Some(ListMoment::new(moment, renewal, renewed_at))
 }
 
 /// Waits until a node that has just taken up reading knows what it is to tell.
--- a/crates/linkhold-gateway/src/fleet.rs
+++ b/crates/linkhold-gateway/src/fleet.rs
@@ -1,8 +1,8 @@
-//! Takes in the fleet: its size, which decides shares of connections, who reads
-//! the store, and whom to ask.
+//! Adopts the view of the fleet: its size, which determines the shares of connections, its
+//! readers, and the nodes to ask.
 //!
-//! Nodes that read the store see the rows by which nodes register
-//! ([`crate::registration`]). Followers of a reader are told the same. While the
+//! Nodes that read the store derive the view from the rows by which nodes register
+//! ([`crate::registration`]). Followers receive it from their reader. While the
 //! store cannot be read, the last view stays.
 
 use std::collections::{BTreeMap, HashSet};
@@ -20,7 +20,7 @@
 use crate::state::AdoptedFleet;
 use crate::zone_map::ZoneMap;
 
-/// The node itself, as it tells others.
+/// This node's own entry, as other nodes receive it.
 pub(crate) fn own_node<P: Platform>(gateway: &Gateway<P>) -> FeedNode {
     FeedNode {
         name: gateway.settings.node.clone(),
@@ -33,19 +33,19 @@
 /// Whether the node that reads the registry may be chosen as a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReaderCandidacy {
-    /// It only looks.
+    /// It only reads the registry.
     No,
-    /// It reads the store.
+    /// It reads the store for the fleet.
     Yes,
 }
 
-/// Takes in the fleet as it was read; whether it has changed.
+/// Adopts the fleet read from the registry. Returns whether the view has changed.
 pub(crate) fn adopt_registry<P: Platform>(
     gateway: &Gateway<P>,
     registry: &Registry,
     candidacy: ReaderCandidacy,
 ) -> bool {
-    remember_registry(gateway, registry);
+    record_registry(gateway, registry);
     let members = present_members(gateway, registry, candidacy);
     let members: Vec<&Member> = members.values().collect();
     let is_settled = registry.is_settled();
@@ -55,10 +55,10 @@
     let listed = members
         .iter()
         .map(|member| member.registration.node.clone());
-    let kept = gateway.fleet.kept_nodes();
-    let is_settled = is_settled || !kept.is_empty();
-    // Of a node that is listed and kept, what is listed counts.
-    let nodes: BTreeMap<String, FeedNode> = kept
+    let retained = gateway.fleet.retained_nodes();
+    let is_settled = is_settled || !retained.is_empty();
+    // For a node that is both listed and retained, the listed entry wins.
+    let nodes: BTreeMap<String, FeedNode> = retained
         .into_iter()
         .chain(listed)
         .map(|node| (node.name.clone(), node))
@@ -73,8 +73,8 @@
     has_changed
 }
 
-/// Nodes that count by name: those that are listed, this node's followers that
-/// its row does not list yet, and the node itself if it reads the store.
+/// Present nodes by name: listed nodes, followers that this node's row does not list yet,
+/// and the node itself if it reads the store.
 fn present_members<P: Platform>(
     gateway: &Gateway<P>,
     registry: &Registry,
@@ -98,9 +98,11 @@
     present
 }
 
-/// Takes in what the registry tells beside the members.
-fn remember_registry<P: Platform>(gateway: &Gateway<P>, registry: &Registry) {
-    gateway.fleet.remember(registry, &gateway.settings.node);
+/// Records the contents of the registry other than its members.
+fn record_registry<P: Platform>(gateway: &Gateway<P>, registry: &Registry) {
+    gateway
+        .fleet
+        .record_registry(registry, &gateway.settings.node);
     gateway.followers.restore(&registry.own_followers);
 }
 
@@ -114,6 +116,8 @@
     }
 }
 
+/// The nodes among which duties are distributed: the readers of a large fleet, all nodes of
+/// a small one.
 fn duty_nodes(members: &[&Member], readers: &[FeedNode]) -> Vec<NodeId> {
     if readers::has_readers(members.len()) {
         let names = readers.iter().map(|node| &node.name);
@@ -123,7 +127,7 @@
     names.map(NodeId::of_name).collect()
 }
 
-/// The nodes that read the store in a fleet that has readers.
+/// The nodes that read the store for the others in a large fleet.
 fn chosen_readers(zone_map: &ZoneMap, members: &[&Member], may_fill: bool) -> Vec<FeedNode> {
     let regions: Vec<RegionName> = members
         .iter()
@@ -152,7 +156,8 @@
     }
 }
 
-/// Takes in the fleet as it was read or told; whether it has changed.
+/// Adopts the fleet as read from the store or received from a reader. Returns whether the
+/// view has changed.
 pub(crate) fn adopt_fleet<P: Platform>(
     gateway: &Gateway<P>,
     fleet: FeedFleet,
--- a/crates/linkhold-gateway/src/followers.rs
+++ b/crates/linkhold-gateway/src/followers.rs
@@ -1,13 +1,13 @@
-//! The nodes that follow this one, as its row is to list them.
+//! The followers of this node, which its row lists.
 //!
 //! # Invariant
 //!
-//! A node that follows is told nothing before the row that lists it is written:
-//! whoever replaces a primary asks all nodes that are listed, so a node that
-//! knows instances must be.
+//! A follower is sent nothing before the row that lists it is written: a node that
+//! replaces a primary asks all listed nodes, so every node that knows instances must be
+//! listed.
 //!
-//! A process that stood still stays listed beside another one of its name until nobody
-//! asks it any more.
+//! A paused process stays listed beside another process of its name until other nodes no
+//! longer consult it.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -24,29 +24,29 @@
 use crate::lease_format::KnownClaims;
 use crate::registry::{MAX_FOLLOWERS, Process, Registration};
 
-/// Orders the arrival of followers and the writing of rows.
+/// Number of a follower's arrival, which orders arrivals against written rows.
 pub(crate) type Ticket = u64;
 
 #[derive(Clone, Debug)]
 struct Follower {
     node: FeedNode,
-    heard_at: Instant,
+    renewed_at: Instant,
     /// Number of its last renewal.
     renewal: Option<u64>,
-    /// A written row lists it, and it was not told yet.
+    /// Notice that a written row lists it, until the notice is sent.
     listed: Option<Listed>,
-    /// Its arrival, as long as no row is written that covers it.
+    /// Its arrival, until a written row covers it.
     arrival: Option<Ticket>,
-    /// Number of a renewal that came before this node asked others whether it may go
-    /// on; the follower was not told yet.
+    /// Number of the last renewal before this node asked for a confirmation that it got,
+    /// until the follower is notified.
     confirmed: Option<u64>,
 }
 
 impl Follower {
-    fn new(node: FeedNode, heard_at: Instant) -> Self {
+    fn new(node: FeedNode, renewed_at: Instant) -> Self {
         Self {
             node,
-            heard_at,
+            renewed_at,
             renewal: None,
             listed: None,
             arrival: None,
@@ -57,38 +57,38 @@
     fn registration(&self) -> Registration {
         Registration {
             node: self.node.clone(),
-            age: self.heard_at.elapsed(),
+            age: self.renewed_at.elapsed(),
         }
     }
 }
 
-/// A written row lists a follower.
+/// Notice to a follower that a written row lists it.
 #[derive(Clone, Debug)]
 pub(crate) struct Listed {
-    /// Number of its last renewal before that.
+    /// Number of its last renewal before the row was written.
     pub number: u64,
-    /// Which leases had been claimed then, if it has just come.
+    /// The leases claimed by then, if the follower is newly listed.
     pub claims: Option<Arc<KnownClaims>>,
 }
 
 #[derive(Debug, Default)]
 struct FollowerTable {
     followers: BTreeMap<Process, Follower>,
-    /// Followers that have come so far.
+    /// Number of arrivals so far.
     arrivals: Ticket,
 }
 
 impl FollowerTable {
-    /// A follower lives.
+    /// Records a follower's renewal, adding the follower if it is new.
     fn record_renewal(&mut self, node: FeedNode, renewal: Option<u64>) -> &mut Follower {
         let follower = self
             .followers
             .entry(Process::of(&node))
             .or_insert_with(|| Follower::new(node.clone(), Instant::now()));
-        // What it was not told on an earlier stream tells it nothing: numbers start
-        // anew there.
+        // Renewal numbers of an earlier stream mean nothing on this one: each stream
+        // starts its own sequence.
         follower.node = node;
-        follower.heard_at = Instant::now();
+        follower.renewed_at = Instant::now();
         follower.renewal = renewal;
         follower
     }
@@ -100,9 +100,9 @@
     table: Mutex<FollowerTable>,
     /// The last arrival that a written row covers.
     listed: watch::Sender<Ticket>,
-    /// A row is to be written before its time.
+    /// Signals that the row must be written before its next renewal.
     changed: Notify,
-    /// Streams that are open.
+    /// Number of open streams.
     open_streams: AtomicUsize,
 }
 
@@ -126,19 +126,19 @@
     }
 }
 
-/// What a row is to list.
+/// The followers for a row.
 pub(crate) struct FollowerList {
     /// The followers.
     pub followers: Vec<Registration>,
-    /// What is confirmed once the row is written.
+    /// The arrivals and renewals that the row covers once it is written.
     pub covers: Covered,
 }
 
-/// What a row covers.
+/// The arrivals and renewals that a row covers.
 pub(crate) struct Covered {
-    /// The last arrival among the followers that it lists.
+    /// The last arrival before the row was composed.
     ticket: Ticket,
-    /// Those that count their renewals.
+    /// The last renewals of the followers that number them.
     renewals: Vec<CoveredRenewal>,
 }
 
@@ -160,18 +160,19 @@
 }
 
 impl Followers {
-    /// A stream to a follower is open.
+    /// Counts a stream to a follower until the returned guard is dropped.
     pub fn start_stream(&self) -> OpenStream<'_> {
         self.open_streams.fetch_add(1, Ordering::Relaxed);
         OpenStream(&self.open_streams)
     }
 
-    /// Streams to followers that are open.
+    /// Number of open streams to followers.
     pub fn open_streams(&self) -> usize {
         self.open_streams.load(Ordering::Relaxed)
     }
 
-    /// A node begins to follow; it is to be listed before it is told anything.
+    /// Adds a node that starts to follow. It must be listed before it is sent anything:
+    /// see [`Followers::wait_until_listed`].
     pub fn add(&self, node: FeedNode, renewal: Option<u64>) -> Ticket {
         let mut table = lock(&self.table);
         table.arrivals += 1;
@@ -182,18 +183,19 @@
         ticket
     }
 
-    /// A follower lives.
+    /// Records a follower's renewal.
     pub fn record_renewal(&self, node: FeedNode, renewal: Option<u64>) {
         lock(&self.table).record_renewal(node, renewal);
     }
 
-    /// That a written row lists a follower, unless it was told so already.
+    /// Takes the notice that a written row lists a follower; `None` if there is none to
+    /// send.
     pub fn take_listed(&self, process: &Process) -> Option<Listed> {
         lock(&self.table).followers.get_mut(process)?.listed.take()
     }
 
-    /// A renewal of a follower that came before this node asked others, unless it was
-    /// told so already.
+    /// Takes the number of a follower's renewal that others' confirmations cover; `None` if
+    /// there is none to send.
     pub fn take_confirmed(&self, process: &Process) -> Option<u64> {
         lock(&self.table)
             .followers
@@ -202,60 +204,61 @@
             .take()
     }
 
-    /// Others confirmed to this node that it may go on, to a question that was
-    /// sent at a moment.
+    /// Records that other nodes confirmed this node's permission, in answer to a question
+    /// sent at `asked_at`. Followers whose last renewal came before that are confirmed too.
     pub fn record_confirmation(&self, asked_at: Instant) {
         let mut table = lock(&self.table);
         let followers = table.followers.values_mut();
-        for follower in followers.filter(|follower| follower.heard_at <= asked_at) {
+        for follower in followers.filter(|follower| follower.renewed_at <= asked_at) {
             follower.confirmed = follower.renewal;
         }
     }
 
-    /// A follower has ended in good order: nobody needs to wait for its answers.
+    /// Removes a follower that left or has ended: other nodes need not wait for its answers.
     pub fn remove(&self, process: &Process) {
         lock(&self.table).followers.remove(process);
         self.changed.notify_one();
     }
 
-    /// Takes over what this node's row listed before it was started again.
+    /// Adds the registrations that are not known yet, such as those that this node's row
+    /// listed before a restart.
     pub fn restore(&self, listed: &[Registration]) {
         let now = Instant::now();
         let mut table = lock(&self.table);
         for registration in listed {
-            let Some(heard_at) = now.checked_sub(registration.age) else {
+            let Some(renewed_at) = now.checked_sub(registration.age) else {
                 continue;
             };
             let node = registration.node.clone();
             table
                 .followers
                 .entry(Process::of(&node))
-                .or_insert_with(|| Follower::new(node, heard_at));
+                .or_insert_with(|| Follower::new(node, renewed_at));
         }
     }
 
-    /// Followers that count as present.
+    /// Followers that count as present in the fleet.
     pub fn present(&self) -> Vec<Registration> {
         let mut list = self.list().followers;
         list.retain(Registration::is_present);
         list
     }
 
-    /// The number of a follower's last renewal, and when it was heard.
+    /// Number of a follower's last renewal and when it was received.
     pub fn last_renewal(&self, process: &Process) -> Option<(u64, Instant)> {
         let table = lock(&self.table);
         let follower = table.followers.get(process)?;
-        Some((follower.renewal?, follower.heard_at))
+        Some((follower.renewal?, follower.renewed_at))
     }
 
-    /// Whether a process follows this one and counts as present.
+    /// Whether a process follows this node and counts as present.
     pub fn has_present(&self, process: &Process) -> bool {
         let table = lock(&self.table);
         let follower = table.followers.get(process);
         follower.is_some_and(|follower| follower.registration().is_present())
     }
 
-    /// The other processes of a follower's name.
+    /// The followers that have the name of a process and another address.
     pub fn others_of_name(&self, process: &Process) -> Vec<Registration> {
         let table = lock(&self.table);
         let same_name = table
@@ -268,14 +271,15 @@
             .collect()
     }
 
-    /// What the row is to list: nodes that were heard of long ago are left out.
+    /// Composes the list for a row and drops followers that are no longer consulted. At most
+    /// [`MAX_FOLLOWERS`] are listed, those with the latest renewals.
     pub fn list(&self) -> FollowerList {
         let mut table = lock(&self.table);
         table
             .followers
             .retain(|_, follower| follower.registration().is_consulted());
         let mut listed: Vec<&Follower> = table.followers.values().collect();
-        listed.sort_by_key(|follower| Reverse(follower.heard_at));
+        listed.sort_by_key(|follower| Reverse(follower.renewed_at));
         if listed.len() > MAX_FOLLOWERS {
             log_not_listed(listed.len());
             listed.truncate(MAX_FOLLOWERS);
@@ -297,7 +301,7 @@
         }
     }
 
-    /// A row is written; `claims` were read since, if it lists arrivals.
+    /// Records that a row was written. `claims` were read after that if it lists arrivals.
     pub fn record_written_row(&self, covered: Covered, claims: Option<KnownClaims>) {
         let claims = claims.map(Arc::new);
         let mut table = lock(&self.table);
@@ -319,14 +323,14 @@
         self.listed.send_replace(covered.ticket);
     }
 
-    /// Waits until a written row covers an arrival; `false` if none does in time.
+    /// Waits until a written row covers an arrival; `false` if none does within `limit`.
     pub async fn wait_until_listed(&self, ticket: Ticket, limit: Duration) -> bool {
         let mut listed = self.listed.subscribe();
         let covered = listed.wait_for(|last| *last >= ticket);
         timeout(limit, covered).await.is_ok_and(|it| it.is_ok())
     }
 
-    /// Waits until a row is to be written before its time.
+    /// Waits until the row must be written before its next renewal.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/crates/linkhold-gateway/src/registration.rs
+++ b/crates/linkhold-gateway/src/registration.rs
@@ -68,7 +68,7 @@
         list_new_followers(&gateway, until).await;
     }
     // No node should choose this one as a reader any more.
-    gateway.fleet.give_up_reading();
+    gateway.fleet.stop_reading();
     if let Err(error) = write_row(&gateway).await {
         log_failure(&gateway, error);
     }
--- a/crates/linkhold-gateway/src/registry.rs
+++ b/crates/linkhold-gateway/src/registry.rs
@@ -2,8 +2,8 @@
 //!
 //! A node that reads the store has a row of its own, keyed by zone and name. A
 //! reader's row also lists its followers, so that a large fleet is written and
-//! read in few rows. The key between nodes stands in the same table: one call
-//! tells a starting node all that it needs to talk to others.
+//! read in few rows. The key between nodes is a row of the same table: a starting
+//! node gets all that it needs to talk to others in one call.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -21,35 +21,35 @@
 
 /// Row of the key between nodes. No zone's rows sort before it.
 pub const PEER_KEY_ROW: &str = "!key";
-/// Row that tells since when nodes know of the store's era. No zone's rows sort before it.
+/// Row that records since when nodes know the store's era. No zone's rows sort before it.
 pub const ERA_ROW: &str = "!era";
-/// Followers that [`encode_row`] takes, at the most: rows hold 64 KiB, an entry takes
-/// up to 50 bytes once they are packed. A reader has 100 followers for long, and those of
-/// a fleet that starts, which finds few readers first, for some seconds.
+/// Most followers in one row: a row holds 64 KiB, an entry takes up to 50 bytes once
+/// packed. A reader has up to 100 followers, but more for some seconds while a fleet
+/// starts and finds few readers at first.
 pub const MAX_FOLLOWERS: usize = 1_200;
 
-/// Since when nodes know of the store's era.
+/// Value of the era row: since when nodes know the store's era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EraRow {
     /// The era.
     pub era: u32,
-    /// When a node first saw it, on the store's clock in milliseconds; 0 if the store ran
-    /// on it when the first node ever started.
+    /// When a node first saw the era, on the store's clock in milliseconds; 0 if the store
+    /// was already in it when the first node ever started.
     pub since: u64,
 }
 
-/// A process that runs as a node. One that stood still may wake after another one has
-/// been started under its name, so a name alone does not tell which of them is meant.
+/// A process that runs as a node. A paused process may resume after another one was started
+/// under its name, so a name alone does not identify a process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Process {
     /// Name of its node.
     pub name: String,
-    /// Where other nodes reach it; `None` if they do not.
+    /// Address at which other nodes reach it; `None` if they cannot.
     pub address: Option<SocketAddr>,
 }
 
 impl Process {
-    /// The process that a node's description tells of.
+    /// The process described by a node's entry.
     pub fn of(node: &FeedNode) -> Self {
         Self {
             name: node.name.clone(),
@@ -58,22 +58,23 @@
     }
 }
 
-/// A node that registers.
+/// A registered node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
     /// The node.
     pub node: FeedNode,
-    /// How long ago it was known to live.
+    /// Time since its last renewal.
     pub age: Duration,
 }
 
 impl Registration {
-    /// Whether it counts as a node of the fleet.
+    /// Whether the node counts as present in the fleet.
     pub fn is_present(&self) -> bool {
         self.age < ROW_EXPIRY
     }
 
-    /// Whether it is asked before a primary is replaced: it counts, or did lately.
+    /// Whether the node is asked before a primary is replaced: it is present, or was until
+    /// recently.
     pub fn is_consulted(&self) -> bool {
         self.age < ROW_EXPIRY + FORMER_TIME
     }
@@ -84,24 +85,24 @@
 struct NodeRow {
     /// Its name.
     name: String,
-    /// Where other nodes reach it.
+    /// Address at which other nodes reach it.
     address: Option<SocketAddr>,
     /// Its zone.
     zone: String,
-    /// Bandwidth of its link in Mbit/s; 0 if it tells none.
+    /// Bandwidth of its link in Mbit/s; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_unknown")]
     bandwidth: u32,
-    /// When it was known to live, on the store's clock in milliseconds.
+    /// Time of its last renewal, on the store's clock in milliseconds.
     renewed_at: u64,
-    /// When it took up reading for others, on the same clock.
+    /// When it became a reader, on the same clock.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     reads_since: Option<u64>,
-    /// Nodes that follow it.
+    /// Its followers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     followers: Vec<NodeRow>,
 }
 
-// The signature is that of a serializer's condition.
+// Serde requires this signature for `skip_serializing_if`.
 #[allow(clippy::trivially_copy_pass_by_ref)]
 fn is_unknown(bandwidth: &u32) -> bool {
     *bandwidth == 0
@@ -135,7 +136,7 @@
     }
 }
 
-/// Key of a node's row: zones first, so that a zone's rows lie together.
+/// Key of a node's row: the zone comes first, so that the rows of a zone are adjacent.
 pub fn row_key(zone: &str, name: &str) -> String {
     format!("{zone}/{name}")
 }
@@ -148,8 +149,8 @@
     pub value: Vec<u8>,
 }
 
-/// The row of a node that reads the store, with those that follow it, written at
-/// `now` on the store's clock.
+/// Encodes the row of a node that reads the store, with its followers, written at `now` on
+/// the store's clock.
 pub fn encode_row(
     own: FeedNode,
     reads_since: Option<u64>,
@@ -165,8 +166,8 @@
     encode(row, followers, now)
 }
 
-/// The row of a node that has left, with those of its followers that are still to be asked,
-/// written at `now` on the store's clock.
+/// Encodes the row of a node that has left, with those of its followers that must still be
+/// consulted, written at `now` on the store's clock.
 pub fn encode_followers_only(
     own: FeedNode,
     followers: &[Registration],
@@ -193,10 +194,10 @@
     })
 }
 
-/// Rows from this length on are packed, in bytes: all nodes that start read all rows. That
-/// of a reader with thirty followers shrinks to a sixth.
+/// Rows of at least this length, in bytes, are packed: every starting node reads all rows.
+/// The row of a reader with thirty followers shrinks to a sixth.
 const PACKING_THRESHOLD: usize = 2_048;
-/// What a row that is not packed begins with.
+/// First byte of a row that is not packed.
 const JSON_OBJECT_START: u8 = b'{';
 
 fn pack_if_large(row: Vec<u8>) -> Vec<u8> {
@@ -210,26 +211,26 @@
     if value.first() == Some(&JSON_OBJECT_START) {
         return Cow::Borrowed(value);
     }
-    // What cannot be unpacked cannot be read as a row either.
+    // A value that cannot be unpacked is passed on and fails to decode as a row.
     linkhold_peer::unpack(value, MAX_FEED_MESSAGE).map_or(Cow::Borrowed(value), Cow::Owned)
 }
 
-/// A node as the rows tell of it.
+/// A node as the rows list it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The node, and how long ago it was known to live.
+    /// The node and the time since its last renewal.
     pub registration: Registration,
-    /// When it took up reading for others, if it did so last.
+    /// When it became a reader; `None` if a row lists it as a follower since.
     pub reads_since: Option<u64>,
 }
 
 impl Member {
-    /// Whether it counts.
+    /// Whether the node counts as present.
     pub fn is_present(&self) -> bool {
         self.registration.is_present()
     }
 
-    /// When it took up reading for others, if it still does.
+    /// When the node became a reader; `None` if it no longer reads.
     pub fn active_reader_since(&self) -> Option<u64> {
         self.reads_since
             .filter(|_| self.registration.age < READER_EXPIRY)
@@ -241,32 +242,32 @@
 pub struct Registry {
     /// The store's clock, in milliseconds.
     pub now: u64,
-    /// When the rows were asked for, which is before the store told its clock.
+    /// When the rows were requested, which is before the store read its clock.
     pub asked_at: Instant,
     /// The key between nodes, once a node has made it.
     pub key: Option<PeerKey>,
-    /// Nodes by name, present and former; of several processes of one name, the one that
-    /// gave the last sign of life.
+    /// Nodes by name, present and former; of several processes of one name, the one with
+    /// the latest renewal.
     pub members: BTreeMap<String, Member>,
-    /// All processes, present and former, and how long ago each was known to live.
+    /// All processes, present and former, each with its latest renewal.
     pub processes: BTreeMap<Process, Registration>,
-    /// What this node's own row lists as its followers.
+    /// The followers that this node's own row lists.
     pub own_followers: Vec<Registration>,
     /// Version of this node's own row; the default if it has none.
     pub own_version: StorePlace,
-    /// The process that wrote it.
+    /// The process that wrote this node's own row.
     pub own_writer: Option<Process>,
     /// The store's era.
     pub era: Era,
-    /// What the table tells of it.
+    /// The era row, if it is there and readable.
     pub era_row: Option<EraRow>,
-    /// Version of that row; the default if there is none.
+    /// Version of the era row; the default if there is none.
     pub era_version: StorePlace,
 }
 
 impl Registry {
-    /// Decodes the rows as `own` sees them. A row that cannot be read is logged
-    /// and passed over.
+    /// Decodes the rows for the node named `own`. A row that cannot be decoded is logged
+    /// and skipped.
     pub fn decode(rows: &StoredRows, asked_at: Instant, own: &str) -> Self {
         let mut registry = Self {
             now: rows.now,
@@ -320,7 +321,7 @@
         self.insert(row.registration(self.now), row.reads_since);
     }
 
-    /// Takes in what one row tells of a node; a later sign of life counts more.
+    /// Adds the entry of a node unless a later renewal of its name is known.
     fn insert(&mut self, registration: Registration, reads_since: Option<u64>) {
         self.insert_process(&registration);
         let known = self.members.get(&registration.node.name);
@@ -343,13 +344,13 @@
         }
     }
 
-    /// Whether a process is listed and counts as a node of the fleet.
+    /// Whether a process is listed and counts as present.
     pub fn lists_as_present(&self, process: &Process) -> bool {
         let listed = self.processes.get(process);
         listed.is_some_and(Registration::is_present)
     }
 
-    /// The other processes of a process's name.
+    /// The other processes that have the name of a process.
     pub fn other_processes_of_name(
         &self,
         process: &Process,
@@ -361,7 +362,7 @@
             .map(|(_, registration)| registration)
     }
 
-    /// Processes of whose names another one gave a later sign of life.
+    /// Processes whose name has a later renewal by another process.
     pub fn replaced_processes(&self) -> impl Iterator<Item = &Registration> {
         let is_replaced = |process: &Process| {
             let member = self.members.get(&process.name);
@@ -373,28 +374,28 @@
             .map(|(_, registration)| registration)
     }
 
-    /// Whether the row of the store's era is to be written: it tells of another one.
+    /// Whether the era row must be written because it does not name the store's era.
     pub fn is_era_row_outdated(&self) -> bool {
-        let told = self.era_row.map(|row| Era(row.era));
-        self.era != Era::default() && told != Some(self.era)
+        let recorded = self.era_row.map(|row| Era(row.era));
+        self.era != Era::default() && recorded != Some(self.era)
     }
 
-    /// Whether nodes may live that are not listed: the store came back lately from an older
-    /// copy, which lacks nodes that had registered just before.
+    /// Whether nodes may run that are not listed: the store was recently restored from an
+    /// older copy, which lacks nodes that had registered just before.
     pub fn may_lack_nodes(&self) -> bool {
         let expiry = milliseconds(ROW_EXPIRY);
         let is_new = |row: EraRow| row.since > 0 && self.now < row.since + expiry;
         self.is_era_row_outdated() || self.era_row.is_some_and(is_new)
     }
 
-    /// Nodes that count.
+    /// Nodes that count as present.
     pub fn present_members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.is_present())
     }
 
     /// Whether the fleet has had a reader for so long that all nodes that started
-    /// together are listed. It may not read any more: all nodes may have been
-    /// stopped at once.
+    /// together are listed. The reader may have stopped reading since: all nodes may have
+    /// been stopped at once.
     pub fn is_settled(&self) -> bool {
         let since = self.present_members().filter_map(|it| it.reads_since);
         let settling = milliseconds(SETTLING_TIME);
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -43,7 +43,7 @@
                 follower = Follower::new();
             }
             FleetSource::Readers(readers) => {
-                gateway.fleet.give_up_reading();
+                gateway.fleet.stop_reading();
                 follower.step(&gateway, &readers).await;
             }
         }
@@ -63,7 +63,7 @@
     sleep(claim_delay(rand::random()) + link_delay).await;
     look_until_answered(gateway).await;
     if gateway.source() == FleetSource::Unknown {
-        gateway.fleet.take_up_reading(fleet::own_node(gateway));
+        gateway.fleet.start_reading(fleet::own_node(gateway));
     }
 }
 
@@ -83,7 +83,7 @@
 
 /// Reads the store as one of the fleet's readers, for as long as the node is one.
 async fn read_for_others<P: Platform>(gateway: &Gateway<P>) {
-    gateway.fleet.take_up_reading(fleet::own_node(gateway));
+    gateway.fleet.start_reading(fleet::own_node(gateway));
     // Whoever replaces a primary asks those who are listed.
     if !gateway.sources.is_reading()
         && let Err(error) = registration::register(gateway).await
--- a/crates/linkhold-gateway/src/state/fleet.rs
+++ b/crates/linkhold-gateway/src/state/fleet.rs
@@ -1,4 +1,4 @@
-//! What is known of the fleet: its size, its nodes, and who reads the store.
+//! Known state of the fleet: its size, its nodes and its readers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use crate::watchers::Watchers;
 use crate::zone_map::ZoneMap;
 
-/// What is known of the fleet.
+/// Known state of the fleet.
 #[derive(Default)]
 pub(crate) struct Fleet {
     view: Mutex<View>,
@@ -27,62 +27,63 @@
 #[derive(Default)]
 struct View {
     key: Option<PeerKey>,
-    /// Nodes in all, this one included; 0 until anything is known.
+    /// Number of nodes, this one included; 0 until the fleet is known.
     size: usize,
     /// Nodes by name.
     nodes: BTreeMap<String, FeedNode>,
     /// The nodes that read the store for others, of all regions.
     readers: Vec<FeedNode>,
-    /// Sizes that it had lately.
+    /// Recent sizes of the fleet.
     sizes: FleetSizes,
-    /// Nodes for each reader.
+    /// Number of nodes per reader.
     followers_per_reader: usize,
-    /// Whether `size` counts all nodes: not while a fleet starts.
+    /// Whether `size` counts all nodes; false while a fleet starts.
     is_settled: bool,
-    /// Nodes among which duties are dealt out, as of this node's own last
-    /// reading of the fleet: all of a small fleet, the readers of a larger one.
+    /// Nodes among which duties are distributed, as of this node's own last
+    /// read of the fleet: all nodes of a small fleet, the readers of a larger one.
     duty_nodes: Vec<NodeId>,
-    /// When this node took up reading for others, on the store's clock.
+    /// When this node became a reader, on the store's clock.
     reads_since: Option<u64>,
-    /// The store's clock and when it was asked for.
+    /// The store's clock and when it was requested.
     store_clock: Option<(u64, Instant)>,
-    /// Whether this node was listed when it first looked.
+    /// Whether this node was listed when it first read the fleet.
     was_listed: Option<bool>,
-    /// Processes that the rows listed when they were read last, and when that was.
+    /// Processes that the rows listed when they were last read.
     processes: Vec<Registration>,
+    /// When these rows were requested.
     processes_as_of: Option<Instant>,
     /// When this node last read the fleet itself.
     read_at: Option<Instant>,
     /// Until when nodes that are not listed stay in the view.
-    keep_until: Option<Instant>,
+    retain_until: Option<Instant>,
 }
 
-/// Nodes that are asked for a tenant's budget, one after the other: with a tenth
-/// of the fleet lost, one in a thousand tenants finds none.
-const MOST_COORDINATORS: usize = 3;
+/// How many nodes are asked for a tenant's budget, one after the other: with a tenth
+/// of the fleet lost, one in a thousand tenants reaches none of them.
+const MAX_COORDINATORS: usize = 3;
 
-/// A reader that has not read the fleet for so long had lost the store.
-const READING_GAP: Duration = Duration::from_millis(6_000);
-/// How long nodes that are not listed stay in the view after such a gap: their
-/// readers had lost the store too and need time to renew their rows.
-const KEEPING_TIME: Duration = Duration::from_millis(5_000);
+/// Gap between two reads of the fleet from which a reader is known to have lost the store.
+const MAX_READ_GAP: Duration = Duration::from_millis(6_000);
+/// How long unlisted nodes stay in the view after such a gap: their readers had lost the
+/// store too and need time to renew their rows.
+const UNLISTED_RETENTION: Duration = Duration::from_millis(5_000);
 
 impl View {
-    /// Whether nodes that are not listed stay, as of a reading just now.
-    fn keeps_unlisted(&mut self, now: Instant) -> bool {
-        let has_gap = self.read_at.is_none_or(|at| at + READING_GAP < now);
+    /// Records a read of the fleet at `now`. Returns whether unlisted nodes stay in the view.
+    fn retains_unlisted(&mut self, now: Instant) -> bool {
+        let has_gap = self.read_at.is_none_or(|at| at + MAX_READ_GAP < now);
         if self.is_settled && has_gap {
-            self.keep_until = Some(now + KEEPING_TIME);
+            self.retain_until = Some(now + UNLISTED_RETENTION);
         }
         self.read_at = Some(now);
-        self.keep_until.is_some_and(|until| now < until)
+        self.retain_until.is_some_and(|until| now < until)
     }
 }
 
 /// Where this node gets configuration and instances from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FleetSource {
-    /// Not known: nobody is known to read the store.
+    /// Unknown: no node is known to read the store.
     Unknown,
     /// From the store.
     Store,
@@ -90,12 +91,12 @@
     Readers(ReaderAddresses),
 }
 
-/// Where readers are reached.
+/// Addresses of the readers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReaderAddresses {
-    /// Those of the own region.
+    /// Readers of this node's region.
     pub near: Vec<SocketAddr>,
-    /// Those of other regions.
+    /// Readers of other regions.
     pub far: Vec<SocketAddr>,
 }
 
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether a reader is among them.
+    /// Whether a reader has this address.
     pub fn contains(&self, address: &SocketAddr) -> bool {
         self.near.contains(address) || self.far.contains(address)
     }
@@ -124,7 +125,7 @@
         lock(&self.view).key.clone()
     }
 
-    /// Addresses of the other nodes that are known.
+    /// Addresses of the other known nodes.
     pub fn peer_addresses(&self, own_name: &str) -> Vec<SocketAddr> {
         lock(&self.view)
             .nodes
@@ -142,7 +143,7 @@
         Some(zone_map.region(&node.zone))
     }
 
-    /// Other nodes' addresses; `None` unless all nodes are known.
+    /// Addresses of all other nodes; `None` unless all nodes are known.
     pub fn all_peer_addresses(&self, own_name: &str) -> Option<Vec<SocketAddr>> {
         self.knows_all_nodes()
             .then(|| self.peer_addresses(own_name))
@@ -154,36 +155,35 @@
         view.is_settled && view.size > 0 && view.size == view.nodes.len()
     }
 
-    /// Whether the fleet listed this node when it first looked.
+    /// Whether this node was already listed when it first read the fleet.
     pub fn was_listed(&self) -> bool {
         lock(&self.view).was_listed.unwrap_or(false)
     }
 
-    /// Whether a node is in the fleet; any is taken to be as long as not all are
-    /// known.
+    /// Whether a node may be in the fleet. Always true while not all nodes are known.
     pub fn may_include(&self, name: &str) -> bool {
         let view = lock(&self.view);
         view.nodes.contains_key(name) || !view.is_settled || view.size > view.nodes.len()
     }
 
-    /// Nodes of the fleet, this one included.
+    /// Number of nodes, this one included.
     pub fn size(&self) -> usize {
         lock(&self.view).size
     }
 
-    /// The most nodes that the fleet had while those that have gone since may still
-    /// count for others.
+    /// The largest recent size of the fleet: other nodes may still count nodes that have
+    /// left since.
     pub fn largest_recent_size(&self) -> usize {
         let view = lock(&self.view);
         view.sizes.largest(Instant::now()).max(view.size)
     }
 
-    /// Nodes for each reader.
+    /// Number of nodes per reader.
     pub fn followers_per_reader(&self) -> usize {
         lock(&self.view).followers_per_reader
     }
 
-    /// What followers are told; `None` as long as not all nodes are known.
+    /// The fleet as it is sent to followers; `None` while not all nodes are known.
     pub fn for_followers(&self) -> Option<FeedFleet> {
         let view = lock(&self.view);
         view.is_settled.then(|| FeedFleet {
@@ -199,7 +199,7 @@
         let names: Vec<&str> = view.readers.iter().map(|node| node.name.as_str()).collect();
         let mut addresses = ReaderAddresses::among(&view.readers, zone_map);
         if view.key.is_none() {
-            // Nothing can be said to them.
+            // Without the key, no message can be sent to a reader.
             addresses = ReaderAddresses::default();
         }
         if names.contains(&own_name) {
@@ -220,40 +220,42 @@
         }
     }
 
-    /// How long ago this node itself read the fleet last; without end if never.
+    /// Time since this node itself last read the fleet; `Duration::MAX` if it never did.
     pub fn last_read_age(&self) -> Duration {
         let read_at = lock(&self.view).read_at;
         read_at.map_or(Duration::MAX, |at| at.elapsed())
     }
 
-    /// Whether few nodes of the fleet read the store, as far as is known.
+    /// Whether the known fleet is large enough that only a few readers read the store.
     pub fn has_readers(&self) -> bool {
         readers::has_readers(self.size())
     }
 
-    /// Whether all nodes are known.
+    /// Whether the size of the fleet counts all nodes.
     pub fn is_settled(&self) -> bool {
         lock(&self.view).is_settled
     }
 
-    /// The store's clock, carried on from when it was asked for.
+    /// The present time on the store's clock, extrapolated from when it was requested;
+    /// `None` until the store was read.
     pub fn store_time(&self) -> Option<u64> {
         let (time, read_at) = lock(&self.view).store_clock?;
         Some(time + u64::try_from(read_at.elapsed().as_millis()).ok()?)
     }
 
-    /// Takes in the key between nodes.
+    /// Sets the key between nodes.
     pub fn set_key(&self, key: PeerKey) {
         lock(&self.view).key = Some(key);
     }
 
-    /// When this node took up reading for others.
+    /// When this node became a reader, on the store's clock in milliseconds; `None` if it
+    /// is none.
     pub fn reads_since(&self) -> Option<u64> {
         lock(&self.view).reads_since
     }
 
-    /// This node takes up reading for others, unless it does already.
-    pub fn take_up_reading(&self, own: FeedNode) {
+    /// Makes this node a reader, unless it is one already.
+    pub fn start_reading(&self, own: FeedNode) {
         let now = self.store_time();
         let mut view = lock(&self.view);
         view.reads_since = view.reads_since.or(now);
@@ -262,14 +264,14 @@
         }
     }
 
-    /// This node does not read for others.
-    pub fn give_up_reading(&self) {
+    /// Records that this node is no reader.
+    pub fn stop_reading(&self) {
         lock(&self.view).reads_since = None;
     }
 
-    /// Whether this node is the first of those that take up a duty. Followers
-    /// of a reader know too little of the fleet to be, and so does every node
-    /// while not all are known.
+    /// Whether this node is the first in the order of nodes for a duty. Always false for
+    /// followers of a reader, which know too little of the fleet, and for every node while
+    /// not all nodes are known.
     pub fn is_duty_owner(&self, own_name: &str, duty: &str) -> bool {
         let view = lock(&self.view);
         if !view.is_settled {
@@ -279,15 +281,15 @@
         rendezvous::owners(duty, nodes, 1) == [NodeId::of_name(own_name)]
     }
 
-    /// The first nodes in the order in which they coordinate a tenant's budget;
-    /// none while not all are known.
+    /// The first nodes in the order of coordinators of a tenant's budget; empty while not
+    /// all nodes are known.
     pub fn coordinators(&self, own_name: &str, tenant: &str) -> Vec<Coordinator> {
         if !self.knows_all_nodes() {
             return Vec::new();
         }
         let view = lock(&self.view);
         let ids = view.nodes.keys().map(|name| NodeId::of_name(name));
-        let order = rendezvous::owners(tenant, ids, MOST_COORDINATORS);
+        let order = rendezvous::owners(tenant, ids, MAX_COORDINATORS);
         let coordinator = |id: &NodeId| {
             let mut nodes = view.nodes.values();
             let node = nodes.find(|node| NodeId::of_name(&node.name) == *id)?;
@@ -299,16 +301,17 @@
         order.iter().filter_map(coordinator).collect()
     }
 
-    /// Nodes that stay in the view though they may not be listed.
-    pub fn kept_nodes(&self) -> Vec<FeedNode> {
+    /// Known nodes that stay in the view although they may not be listed; empty unless this
+    /// node recently regained the store.
+    pub fn retained_nodes(&self) -> Vec<FeedNode> {
         let mut view = lock(&self.view);
-        if !view.keeps_unlisted(Instant::now()) {
+        if !view.retains_unlisted(Instant::now()) {
             return Vec::new();
         }
         view.nodes.values().cloned().collect()
     }
 
-    /// The other processes of a name that the rows listed when they were read last.
+    /// The other processes of a name, as the rows listed them when they were last read.
     pub fn others_of_name(&self, process: &Process) -> Vec<Registration> {
         let view = lock(&self.view);
         let since = view
@@ -324,23 +327,23 @@
         others.map(aged).collect()
     }
 
-    /// The nodes among which duties are dealt out from now on.
+    /// Sets the nodes among which duties are distributed.
     pub fn set_duty_nodes(&self, nodes: Vec<NodeId>) {
         lock(&self.view).duty_nodes = nodes;
     }
 
-    /// Takes in what the registry tells beside the members.
-    pub fn remember(&self, registry: &Registry, own_name: &str) {
+    /// Records the contents of the registry other than its members.
+    pub fn record_registry(&self, registry: &Registry, own_name: &str) {
         let mut view = lock(&self.view);
-        // Counted from before it was told, it runs ahead rather than behind: a renewal
-        // looks no older than it is.
+        // Counted from the request, the clock runs ahead rather than behind. A renewal
+        // written by it never appears older than it is.
         view.store_clock = Some((registry.now, registry.asked_at));
         view.processes = registry.processes.values().cloned().collect();
         view.processes_as_of = Some(registry.asked_at);
         if let Some(key) = &registry.key {
             view.key = Some(key.clone());
         }
-        // This node read for others before it was started again.
+        // This node may have been a reader before it was restarted.
         let own = registry.members.get(own_name);
         let is_listed = own.is_some_and(Member::is_present);
         view.was_listed.get_or_insert(is_listed);
@@ -348,8 +351,7 @@
         view.reads_since = view.reads_since.or(reads_since);
     }
 
-    /// Takes in the nodes of the fleet, this one among them, and those that watch
-    /// services among them.
+    /// Adopts the nodes of the fleet, this one included, and passes them to the watchers.
     pub fn adopt(&self, adopted: AdoptedFleet, watchers: &Watchers) -> FleetChange {
         let AdoptedFleet {
             nodes,
@@ -377,8 +379,7 @@
         }
     }
 
-    /// This node's place in the order in which nodes take up a duty, among
-    /// those it knows.
+    /// This node's rank in the order of known nodes for a duty; 0 is the first.
     pub fn duty_rank(&self, own_name: &str, duty: &str) -> usize {
         let view = lock(&self.view);
         let own = NodeId::of_name(own_name);
@@ -390,11 +391,11 @@
     }
 }
 
-/// The fleet as it was read or told.
+/// The fleet as read from the store or received from a reader.
 pub(crate) struct AdoptedFleet {
     /// Nodes by name, this one included.
     pub nodes: BTreeMap<String, FeedNode>,
-    /// Nodes in all.
+    /// Number of nodes.
     pub size: usize,
     /// The nodes that read the store for others.
     pub readers: Vec<FeedNode>,
@@ -402,11 +403,11 @@
     pub is_settled: bool,
 }
 
-/// What taking in a fleet has changed.
+/// Result of adopting a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FleetChange {
-    /// Whether it differs from what was known.
+    /// Whether it differs from the previous view.
     pub has_changed: bool,
-    /// Nodes in all until then.
+    /// Previous number of nodes.
     pub previous_size: usize,
 }
