--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -32,11 +32,11 @@
 
 /// How long a reader that is trusted may take to have a row written that lists this
 /// node: two of its renewals.
-const LISTING_PATIENCE: Duration = FOLLOWER_RENEWAL.saturating_mul(2);
+const LISTING_TIMEOUT: Duration = FOLLOWER_RENEWAL.saturating_mul(2);
 
 /// Why a reader is no longer followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lost {
+pub(crate) enum LossReason {
     /// It could not be reached.
     Unreachable,
     /// It broke off, or said something that makes no sense.
@@ -53,15 +53,15 @@
 
 /// How long a reader is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Patience {
+pub(crate) enum StaleLimit {
     /// Until it has lost the store.
     UntilStale,
     /// Until this moment if it has lost the store; it may find it back before.
     Until(Instant),
 }
 
-impl Patience {
-    /// The moment, unless patience ends before.
+impl StaleLimit {
+    /// The moment, unless stale_limit ends before.
     fn limit(self, moment: Instant) -> Instant {
         match self {
             Self::UntilStale => moment,
@@ -77,13 +77,13 @@
     gateway: &Arc<Gateway<P>>,
     reader: SocketAddr,
     key: &PeerKey,
-    patience: Patience,
+    stale_limit: StaleLimit,
     trusted_until: &mut Instant,
-) -> Lost {
-    let first_word_until = patience.limit(Instant::now() + gateway.freshness.first_word_time());
+) -> LossReason {
+    let first_word_until = stale_limit.limit(Instant::now() + gateway.freshness.first_word_time());
     let connecting = timeout_at(first_word_until.into(), TcpStream::connect(reader)).await;
     let Ok(Ok(mut stream)) = connecting else {
-        return Lost::Unreachable;
+        return LossReason::Unreachable;
     };
     // A socket that refuses it still works, only later.
     let _ = stream.set_nodelay(true);
@@ -91,7 +91,7 @@
         .await
         .is_err()
     {
-        return Lost::Broken;
+        return LossReason::Broken;
     }
     let (mut reading, mut writing) = stream.into_split();
     let outbox = gateway.reader_link.open();
@@ -99,7 +99,7 @@
     let mut listener = Listener {
         gateway,
         reader,
-        patience,
+        stale_limit,
         trusted_until,
         renewals: &renewals,
         followed_at: Instant::now(),
@@ -109,7 +109,7 @@
     };
     let lost = tokio::select! {
         lost = listener.listen(&mut reading, first_word_until, key) => lost,
-        () = speak(gateway, &mut writing, outbox, &renewals, key) => Lost::Broken,
+        () = speak(gateway, &mut writing, outbox, &renewals, key) => LossReason::Broken,
     };
     gateway.reader_link.close();
     lost
@@ -161,7 +161,7 @@
 struct Listener<'a, P: Platform> {
     gateway: &'a Gateway<P>,
     reader: SocketAddr,
-    patience: Patience,
+    stale_limit: StaleLimit,
     trusted_until: &'a mut Instant,
     /// What this node has told the reader of itself.
     renewals: &'a Mutex<SentRenewals>,
@@ -182,7 +182,7 @@
         stream: &mut OwnedReadHalf,
         first_word_until: Instant,
         key: &PeerKey,
-    ) -> Lost {
+    ) -> LossReason {
         let mut silent_at = first_word_until;
         loop {
             let message = match self.next_message(stream, silent_at, key).await {
@@ -229,12 +229,12 @@
     /// Whether the reader, which is trusted, has had no row written that lists this node
     /// for so long that it may speak for no primary any more.
     fn is_not_listed(&self, now: Instant) -> bool {
-        let had_time = now.saturating_duration_since(self.followed_at) > LISTING_PATIENCE;
+        let had_time = now.saturating_duration_since(self.followed_at) > LISTING_TIMEOUT;
         had_time && !self.gateway.beliefs.permission.is_held()
     }
 
     /// The reader has a row written that lists this node.
-    fn listed(&self, number: u64, claims: Option<Vec<RecentClaim>>) -> Result<(), Lost> {
+    fn listed(&self, number: u64, claims: Option<Vec<RecentClaim>>) -> Result<(), LossReason> {
         let Some(sent_at) = lock(self.renewals).confirmed(number) else {
             return Ok(());
         };
@@ -246,7 +246,7 @@
                 Ok(())
             }
             // Whoever comes anew is told of the leases.
-            (Renewed::ToBeAdmitted, None) => Err(Lost::NotAdmitted),
+            (Renewed::ToBeAdmitted, None) => Err(LossReason::NotAdmitted),
         }
     }
 
@@ -284,12 +284,12 @@
         stream: &mut OwnedReadHalf,
         silent_at: Instant,
         key: &PeerKey,
-    ) -> Result<FeedMessage, Lost> {
+    ) -> Result<FeedMessage, LossReason> {
         let length = match timeout_at(silent_at.into(), read_length(stream, MAX_FEED_MESSAGE)).await
         {
             Ok(Ok(length)) => length,
-            Ok(Err(_)) => return Err(Lost::Broken),
-            Err(_) => return Err(Lost::Stale),
+            Ok(Err(_)) => return Err(LossReason::Broken),
+            Err(_) => return Err(LossReason::Stale),
         };
         let most = Instant::now() + self.gateway.freshness.trust;
         let mut body = BytesMut::with_capacity(length);
@@ -297,22 +297,22 @@
             let stalls_at = silent_at.max(Instant::now() + STALL_TIME).min(most);
             let mut rest = (&mut *stream).take((length - body.len()) as u64);
             match timeout_at(stalls_at.into(), rest.read_buf(&mut body)).await {
-                Ok(Ok(0) | Err(_)) => return Err(Lost::Broken),
+                Ok(Ok(0) | Err(_)) => return Err(LossReason::Broken),
                 Ok(Ok(_)) => {}
-                Err(_) => return Err(Lost::Stale),
+                Err(_) => return Err(LossReason::Stale),
             }
         }
-        decode_feed(&body, key).map_err(|_| Lost::Broken)
+        decode_feed(&body, key).map_err(|_| LossReason::Broken)
     }
 
     /// The reader vouches for what it told before; until when it may be silent.
-    fn vouched(&mut self, age: Duration, list: Option<ListMoment>) -> Result<Instant, Lost> {
+    fn vouched(&mut self, age: Duration, list: Option<ListMoment>) -> Result<Instant, LossReason> {
         let now = Instant::now();
         let freshness = self.gateway.freshness;
         if !freshness.is_trusted(age, Duration::ZERO) {
-            return match self.patience {
-                Patience::Until(until) if now < until => Ok(until),
-                Patience::Until(_) | Patience::UntilStale => Err(Lost::Stale),
+            return match self.stale_limit {
+                StaleLimit::Until(until) if now < until => Ok(until),
+                StaleLimit::Until(_) | StaleLimit::UntilStale => Err(LossReason::Stale),
             };
         }
         for message in self.told.drain(..) {
@@ -330,13 +330,13 @@
         }
         let silent_at = now + (freshness.trust - age);
         *self.trusted_until = silent_at;
-        self.patience = Patience::UntilStale;
+        self.stale_limit = StaleLimit::UntilStale;
         start_following(self.gateway, self.reader);
         if self.is_not_listed(now) {
-            return Err(Lost::NotListed);
+            return Err(LossReason::NotListed);
         }
         if !is_reader_of(self.gateway, self.reader) {
-            return Err(Lost::NoLongerChosen);
+            return Err(LossReason::NoLongerChosen);
         }
         Ok(silent_at)
     }
@@ -381,7 +381,7 @@
 
 fn start_following<P: Platform>(gateway: &Gateway<P>, reader: SocketAddr) {
     if !gateway.sources.is_following() {
-        gateway.sources.follow();
+        gateway.sources.start_following();
         Event::info("reader_followed").field("reader", reader).log();
     }
 }
--- a/crates/linkhold-gateway/src/feed/mod.rs
+++ b/crates/linkhold-gateway/src/feed/mod.rs
@@ -21,7 +21,7 @@
 
 use framing::read_message;
 
-pub(crate) use follower::{Patience, follow};
+pub(crate) use follower::{StaleLimit, follow};
 
 /// How long a node that has opened a stream may take to say what for.
 const OPENING_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/linkhold-gateway/src/lease_format.rs
+++ b/crates/linkhold-gateway/src/lease_format.rs
@@ -1,6 +1,7 @@
-//! Failover leases as rows, claims of them that were read, and the last ones this node held.
+//! Failover leases as rows, the claims of leases that were read, and the leases this node
+//! held last.
 //!
-//! A row also tells what the store keeps of the service's promotions ([`LeadRecord`]).
+//! A row also holds the store's record of the service's promotions ([`LeadRecord`]).
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -31,7 +32,7 @@
     claimed: Vec<String>,
 }
 
-/// A lease as a row's value, with what is kept of the service's promotions.
+/// Encodes a lease and the record of the service's promotions as a row's value.
 pub(crate) fn encode_lease(lease: &FailoverLease, record: &LeadRecord) -> Vec<u8> {
     let row = LeaseRow {
         holder: lease.holder.clone(),
@@ -45,7 +46,7 @@
     serde_json::to_vec(&row).expect("a lease has nothing that cannot be written")
 }
 
-/// Reads a row's value; `None` if it is not a lease.
+/// Decodes a row's value; `None` if it is not a lease.
 pub(crate) fn decode_lease(value: &[u8]) -> Option<(FailoverLease, LeadRecord)> {
     let row: LeaseRow = serde_json::from_slice(value).ok()?;
     let instance = |id: String| InstanceId(id.into());
@@ -63,19 +64,19 @@
     Some((lease, record))
 }
 
-/// Claims of leases as they were read.
+/// Claims of leases as read from the store.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownClaims {
-    /// Those under which a promotion may still take effect.
+    /// Claims under which a promotion may still take effect.
     pub claims: Vec<RecentClaim>,
-    /// What is kept of the promotions of each service that ever had one.
+    /// The record of promotions of each service that ever had one.
     pub records: Vec<(ServiceName, LeadRecord)>,
-    /// When they were read; their ages count from no later.
+    /// When they were read; the ages were taken no later than that.
     pub read_at: Instant,
 }
 
 impl KnownClaims {
-    /// The same with their ages as of now.
+    /// The claims with their present ages.
     pub fn aged(&self) -> Vec<RecentClaim> {
         let since = self.read_at.elapsed();
         let aged = |claim: &RecentClaim| RecentClaim {
@@ -86,37 +87,37 @@
     }
 }
 
-/// Leases this node claimed last.
+/// The leases this node claimed last.
 #[derive(Default)]
 pub(crate) struct HeldLeases {
     leases: Mutex<HashMap<ServiceName, FailoverLease>>,
-    /// Orders under the last token of each service.
+    /// Promotion orders sent under the last token of each service.
     orders: Mutex<HashMap<ServiceName, SentOrders>>,
 }
 
-/// Orders that this node sent under a token.
+/// Promotion orders that this node sent under a token.
 #[derive(Clone, Copy, Debug)]
 struct SentOrders {
     token: u64,
-    /// Those that were not answered: they may be carried out yet.
+    /// Number of orders without an answer: they may still be carried out.
     unanswered: usize,
 }
 
 impl HeldLeases {
-    /// This node claimed a lease.
+    /// Records a lease that this node claimed.
     pub fn record(&self, service: &ServiceName, lease: &FailoverLease) {
         lock(&self.leases).insert(service.clone(), lease.clone());
     }
 
-    /// Whether this node claimed the service's lease last, as far as it knows, in an era
-    /// of the store.
+    /// Whether this node, as far as it knows, was the last to claim the service's lease, and
+    /// did so in this era of the store.
     pub fn holds(&self, service: &str, node: &str, era: Era) -> bool {
         lock(&self.leases)
             .get(service)
             .is_some_and(|lease| lease.holder == node && era_of_token(lease.token) == era)
     }
 
-    /// An order under a token is about to leave.
+    /// Records that an order under a token is about to be sent.
     pub fn record_order(&self, service: &ServiceName, token: u64) {
         let mut orders = lock(&self.orders);
         let sent = orders
@@ -130,7 +131,8 @@
         sent.unanswered += 1;
     }
 
-    /// It was answered, or did not leave. Whether no other one under its token is unanswered.
+    /// Records that an order was answered or not sent. Returns whether no order under its
+    /// token is unanswered any more; false if the token is not the last one.
     pub fn record_order_answer(&self, service: &str, token: u64) -> bool {
         let mut orders = lock(&self.orders);
         let Some(sent) = orders.get_mut(service).filter(|sent| sent.token == token) else {
@@ -147,9 +149,9 @@
         sent.is_some_and(|sent| sent.token == token && sent.unanswered == 0)
     }
 
-    /// A lease of this node's own as its row has it, with what only this node knows: for
-    /// which successor its token was used without the store, and that its order was
-    /// answered.
+    /// Completes a row of this node's own lease with what only this node knows: the
+    /// successor for which its token was used without the store, and that all orders under
+    /// it were answered.
     pub fn with_local_state(&self, service: &str, row: FailoverLease) -> FailoverLease {
         let mut lease = row;
         let held = lock(&self.leases).get(service).cloned();
@@ -162,16 +164,16 @@
         lease
     }
 
-    /// Another node holds the lease now.
+    /// Forgets a lease that another node holds now.
     pub fn forget(&self, service: &str) {
         lock(&self.leases).remove(service);
     }
 
-    /// A lease on which this node may act although the store does not answer:
-    /// its own last one, unused or for the same successor, if it was claimed in the store's
-    /// era. `may_use`: the authority itself refuses tokens that are no longer the newest,
-    /// and this process is certainly listed. From then on its token belongs to this
-    /// successor.
+    /// Returns a lease on which this node may act while the store does not answer: its own
+    /// last one, unused or used for the same successor, if it was claimed in the store's
+    /// present era. `may_use` states that the authority itself refuses tokens that are not
+    /// the newest, and that this process is certainly listed. The lease's token then
+    /// belongs to this successor.
     pub fn use_without_store(
         &self,
         service: &str,
--- a/crates/linkhold-gateway/src/liveness.rs
+++ b/crates/linkhold-gateway/src/liveness.rs
@@ -1,7 +1,8 @@
 //! Whether the process at another node's address still runs.
 //!
-//! A machine whose process has ended refuses connections; one without power, behind a cut or
-//! paused says nothing. Only a refusal proves that nothing runs there.
+//! A machine whose process has ended refuses connections. A machine without power or behind
+//! a network cut, or a paused process, does not answer. Only a refusal proves that no process
+//! runs there.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,24 +15,24 @@
 
 use crate::beliefs::lock;
 
-/// How long a node has to take a connection: seven times the way between regions and back.
+/// How long a node has to accept a connection: seven round trips between regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long what was found counts: a process that has ended is started again after a second
-/// at the least.
+/// How long a result counts: a process that has ended is restarted after a second at the
+/// earliest.
 const RESULT_LIFETIME: Duration = Duration::from_millis(700);
 
-/// What a try to connect to a node found.
+/// State of a process as found by connecting to its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessState {
-    /// It takes connections.
+    /// The process accepts connections.
     Reached,
-    /// Its machine refuses them: the process has ended.
+    /// The machine refuses connections: the process has ended.
     Ended,
-    /// Nothing came back: it may run.
+    /// No answer: the process may run.
     Silent,
 }
 
-/// Tries to connect to a node.
+/// Tries to connect to a node within [`CONNECT_TIMEOUT`].
 pub(crate) async fn probe(address: SocketAddr) -> ProcessState {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_)) => ProcessState::Reached,
@@ -43,17 +44,17 @@
 #[derive(Clone, Copy, Debug)]
 struct ProbeResult {
     probed_at: Instant,
-    /// What was found; `None` while the first look is under way.
+    /// State that was found; `None` while the first probe is under way.
     state: Option<ProcessState>,
 }
 
-/// What was found of nodes that gave no answer.
+/// Last known states of the processes at nodes that did not answer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Liveness(Arc<Mutex<HashMap<SocketAddr, ProbeResult>>>);
 
 impl Liveness {
-    /// What was found of a node last; `None` if nothing yet. Looks for the next time, and
-    /// never waits.
+    /// Returns the last known state of a node's process, `None` if there is none yet. Starts
+    /// a new probe if the last result is too old, without waiting for it.
     pub fn last_state(&self, address: SocketAddr) -> Option<ProcessState> {
         let probed_at = Instant::now();
         let mut results = lock(&self.0);
--- a/crates/linkhold-gateway/src/permission.rs
+++ b/crates/linkhold-gateway/src/permission.rs
@@ -1,4 +1,4 @@
-//! This node's permission to speak for primaries, and what it has agreed to.
+//! This node's permission to acknowledge for primaries, and the replacements it agreed to.
 
 use std::sync::Mutex;
 use std::time::Instant;
@@ -10,7 +10,8 @@
 
 use crate::beliefs::lock;
 
-/// This node's permission to speak for primaries, and what it has agreed to.
+/// This node's permission to acknowledge writes and serve strict reads for primaries, and
+/// the replacements that it agreed to.
 #[derive(Debug, Default)]
 pub(crate) struct OwnPermission {
     permission: Mutex<Permission>,
@@ -18,13 +19,13 @@
 }
 
 impl OwnPermission {
-    /// The store confirmed a renewal that was sent at a moment.
+    /// Records that the store confirmed a renewal sent at `sent_at`.
     pub fn record_renewal(&self, sent_at: Instant) -> Renewed {
         lock(&self.permission).renewed(sent_at, Instant::now())
     }
 
-    /// This node was listed by a renewal that was sent at a moment, and has learnt
-    /// which leases were claimed by then.
+    /// Records that a renewal sent at `sent_at` listed this node, which then learnt which
+    /// leases were claimed by that time.
     pub fn record_admission(&self, sent_at: Instant, claims: &[RecentClaim]) {
         let now = Instant::now();
         let mut permission = lock(&self.permission);
@@ -40,15 +41,17 @@
         }
     }
 
-    /// Enough nodes confirmed that this node may go on, to a question that was sent at a
-    /// moment, and has agreed to nothing but `agreed`.
+    /// Records that enough nodes confirmed the permission, in answer to a question sent at
+    /// `asked_at`, and agreed to no replacement but `agreed`. Ignored if this node has not
+    /// agreed to all of these.
     pub fn record_confirmation(&self, asked_at: Instant, agreed: &[String]) {
         if self.has_agreed_to_all(agreed) {
             lock(&self.permission).confirmed(asked_at);
         }
     }
 
-    /// Whether this node may speak for an instance as a primary at a moment.
+    /// Whether this node may acknowledge writes and serve strict reads for an instance as
+    /// the primary at a moment.
     pub fn may_acknowledge_for(
         &self,
         instance: &Instance,
@@ -59,54 +62,55 @@
         permission.covers(&instance.service, &instance.id, moment, directory_as_of)
     }
 
-    /// Whether this node may speak for primaries at all.
+    /// Whether this node holds a permission at present.
     pub fn is_held(&self) -> bool {
         lock(&self.permission).holds(Instant::now())
     }
 
-    /// Whether this node is to have others confirm that it may go on.
+    /// Whether this node needs others to confirm its permission.
     pub fn needs_confirmation(&self) -> bool {
         lock(&self.permission).needs_confirmation(Instant::now())
     }
 
-    /// This node agrees to a replacement, to a question with a number.
+    /// Records that this node agreed to a replacement in answer to a question.
     pub fn agree(&self, subject: &QuestionSubject, question: u64) {
         lock(&self.consents).agree(&subject.to_string(), question, Instant::now());
     }
 
-    /// Whoever asked a question orders nothing.
+    /// Withdraws the agreement to a question whose sender orders no replacement.
     pub fn release(&self, question: u64) {
         lock(&self.consents).release(question);
     }
 
-    /// Another process has this node's name: it is asked in this one's place.
+    /// Revokes the permission: another process has this node's name and is asked in its
+    /// place.
     pub fn revoke(&self) {
         *lock(&self.permission) = Permission::default();
     }
 
-    /// What this node has agreed to lately, told to one that relies on it; `None` if
-    /// this node may not speak for primaries itself.
+    /// The replacements this node agreed to recently, as a confirmation for another node;
+    /// `None` if this node holds no permission itself.
     pub fn agreed_if_held(&self) -> Option<Vec<String>> {
         self.is_held().then(|| self.agreed())
     }
 
-    /// What this node has agreed to lately.
+    /// The replacements this node agreed to recently.
     pub fn agreed(&self) -> Vec<String> {
         lock(&self.consents).recent(Instant::now())
     }
 
-    /// Whether this node has agreed to all that others have.
+    /// Whether this node has agreed to all of these replacements too.
     pub fn has_agreed_to_all(&self, agreed: &[String]) -> bool {
         lock(&self.consents).include(agreed, Instant::now())
     }
 
-    /// How long ago the last renewal that the store confirmed was sent, in whole
-    /// milliseconds; `None` if none was.
+    /// Time since the last renewal confirmed by the store was sent, in whole milliseconds;
+    /// `None` if there was none.
     pub fn age_ms(&self) -> Option<u64> {
         age_ms(&lock(&self.permission), Instant::now())
     }
 
-    /// The same for the log.
+    /// [`Self::age_ms`] as it is logged; `never` if there was no renewal.
     pub fn logged_age(&self) -> String {
         logged_age(self.age_ms())
     }
--- a/crates/linkhold-gateway/src/permission_watch.rs
+++ b/crates/linkhold-gateway/src/permission_watch.rs
@@ -1,4 +1,4 @@
-//! Tells in the log when a node may not speak for primaries any more.
+//! Logs when this node loses its permission to acknowledge for primaries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
-/// How often it is looked whether the permission has lapsed, for the log alone.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the permission is checked; this serves the log only.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Logs when the permission has lapsed. Runs until the process ends.
+/// Logs each time the permission lapses. Runs until the process ends.
 pub(crate) async fn watch<P: Platform>(gateway: Arc<Gateway<P>>) {
     let permission = &gateway.beliefs.permission;
     let mut held = false;
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(CHECK_INTERVAL).await;
         let holds = permission.is_held();
         if std::mem::replace(&mut held, holds) && !holds {
             Event::warn("permission_lapsed")
--- a/crates/linkhold-gateway/src/refresh.rs
+++ b/crates/linkhold-gateway/src/refresh.rs
@@ -1,8 +1,9 @@
-//! Follows configuration and instances in the platform's store.
+//! Tasks that refresh configuration and instances from the platform's store, expire
+//! instances and close unused connections.
 //!
-//! Each call has its own time-out, since a store that is cut off or silent
-//! gives no sign. Changes are asked for with a wait; when the store has
-//! forgotten its history, or after any failure, everything is read again.
+//! Each call has its own timeout, since a store that is cut off or silent
+//! gives no sign. Changes are requested with a wait; when the store no longer has
+//! the history since, or after any failure, everything is read again.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,53 +16,53 @@
 use crate::ports::{DirectoryChange, Platform, StoreError};
 use crate::store_call::{CallReason, READ_TIMEOUT, with_timeout};
 
-/// First pause after a failure; it doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause when the store throttles or refuses this node, at the least.
-const LONGEST_REFUSED_PAUSE: Duration = Duration::from_millis(800);
-/// How long instances are not asked for after a failure while the configuration
-/// is not answered either. The store may be down in part.
-const STORE_RETURN_TIME: Duration = Duration::from_millis(1_500);
-/// Changes of instances that come closer together are taken in one answer:
-/// many announce themselves at the same time.
-const GATHER_TIME: Duration = Duration::from_millis(200);
-/// How often entries that vanished are looked at.
+/// First pause after a failure; doubles with each further failure.
+const MIN_PAUSE: Duration = Duration::from_millis(50);
+/// Lower bound on the longest pause while the store throttles or refuses this node.
+const REFUSED_PAUSE_LIMIT: Duration = Duration::from_millis(800);
+/// Longest further pause before instances are requested after a failure while requests for
+/// the configuration are not answered either. The store may be down in part.
+const STORE_RETURN_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Changes of instances within this time are read in one answer: many instances announce
+/// themselves at the same time.
+const CHANGE_BATCH_TIME: Duration = Duration::from_millis(200);
+/// How often removed instances and evacuations are checked for expiry.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tells lost and regained contact with the store, and paces attempts.
-struct Contact<'a, P: Platform> {
+/// Logs lost and regained contact with the store, and paces retries.
+struct StoreContact<'a, P: Platform> {
     gateway: &'a Gateway<P>,
-    what: &'static str,
+    subject: &'static str,
     lost_at: Option<Instant>,
     pause: Duration,
 }
 
-impl<'a, P: Platform> Contact<'a, P> {
-    fn new(gateway: &'a Gateway<P>, what: &'static str) -> Self {
+impl<'a, P: Platform> StoreContact<'a, P> {
+    fn new(gateway: &'a Gateway<P>, subject: &'static str) -> Self {
         Self {
             gateway,
-            what,
+            subject,
             lost_at: None,
-            pause: FIRST_PAUSE,
+            pause: MIN_PAUSE,
         }
     }
 
-    fn answered(&mut self) {
-        self.pause = FIRST_PAUSE;
+    fn record_answer(&mut self) {
+        self.pause = MIN_PAUSE;
         if let Some(lost_at) = self.lost_at.take() {
             Event::info("store_regained")
-                .field("reading", self.what)
+                .field("reading", self.subject)
                 .field("lost_for_ms", lost_at.elapsed().as_millis())
                 .log();
         }
     }
 
-    async fn failed(&mut self, error: StoreError) {
+    async fn back_off(&mut self, error: StoreError) {
         self.gateway.metrics.store_failures.add();
         if self.lost_at.is_none() {
             self.lost_at = Some(Instant::now());
             Event::warn("store_lost")
-                .field("reading", self.what)
+                .field("reading", self.subject)
                 .field("error", error)
                 .log();
         }
@@ -69,36 +70,36 @@
         sleep(self.pause.mul_f64(spread)).await;
         let longest = self.gateway.longest_store_pause();
         let longest = match error {
-            StoreError::Refused => longest.max(LONGEST_REFUSED_PAUSE),
+            StoreError::Refused => longest.max(REFUSED_PAUSE_LIMIT),
             _ => longest,
         };
         self.pause = (self.pause * 2).min(longest);
     }
 }
 
-/// Keeps in force what the operator asks for: the configuration, and evacuations of
-/// zones. Runs until the process ends.
+/// Refreshes what the operator sets: the configuration and evacuations of zones. Runs until
+/// the process ends.
 pub async fn refresh_configuration<P: Platform>(gateway: Arc<Gateway<P>>) {
-    let mut contact = Contact::new(&gateway, "configuration");
-    let mut place: Option<StorePlace> = None;
+    let mut contact = StoreContact::new(&gateway, "configuration");
+    let mut revision: Option<StorePlace> = None;
     loop {
         if gateway.sources.wait_until_reading().await {
-            place = None;
+            revision = None;
         }
         gateway.metrics.store_calls.count(CallReason::Configuration);
-        let answer = match place {
+        let answer = match revision {
             Some(from) => follow_operator(&gateway, from).await,
             None => read_operator(&gateway).await,
         };
         match answer {
             Ok(next) => {
-                contact.answered();
-                gateway.sources.configuration_answered();
-                place = Some(next);
+                contact.record_answer();
+                gateway.sources.record_configuration_answer();
+                revision = Some(next);
             }
             Err(error) => {
-                place = None;
-                contact.failed(error).await;
+                revision = None;
+                contact.back_off(error).await;
             }
         }
     }
@@ -110,7 +111,7 @@
     let (state, next) = with_timeout(call, READ_TIMEOUT).await?;
     gateway.store_era.observe(next.era());
     let beliefs = &gateway.beliefs;
-    // Before the configuration, with which a node begins to serve.
+    // Evacuations come first: a node starts to serve once it has a configuration.
     beliefs.replace_evacuations(state.evacuated, next, Instant::now());
     beliefs.evacuations_vouched(asked_at);
     if let Some(configuration) = state.configuration {
@@ -136,30 +137,30 @@
     Ok(next)
 }
 
-/// Keeps the list of instances. Runs until the process ends.
+/// Refreshes the list of instances. Runs until the process ends.
 pub async fn refresh_instances<P: Platform>(gateway: Arc<Gateway<P>>) {
-    let mut contact = Contact::new(&gateway, "instances");
-    let mut place: Option<StorePlace> = None;
+    let mut contact = StoreContact::new(&gateway, "instances");
+    let mut revision: Option<StorePlace> = None;
     loop {
         if gateway.sources.wait_until_reading().await {
-            place = None;
+            revision = None;
         }
         gateway.metrics.store_calls.count(CallReason::Instances);
-        let answer = match place {
+        let answer = match revision {
             Some(from) => follow_instances(&gateway, from).await,
             None => read_instances(&gateway).await,
         };
         match answer {
             Ok(next) => {
-                contact.answered();
-                place = Some(next);
+                contact.record_answer();
+                revision = Some(next);
             }
             Err(error) => {
                 gateway.beliefs.directory_disturbed();
-                place = None;
-                contact.failed(error).await;
-                // One of this node's tasks finds out that the store is back.
-                gateway.sources.wait_for_store(STORE_RETURN_TIME).await;
+                revision = None;
+                contact.back_off(error).await;
+                // The task that refreshes the configuration detects that the store is back.
+                gateway.sources.wait_for_store(STORE_RETURN_TIMEOUT).await;
             }
         }
     }
@@ -170,7 +171,7 @@
     let call = gateway.platform.read_instances();
     let (listed, next) = with_timeout(call, READ_TIMEOUT).await?;
     gateway.store_era.observe(next.era());
-    gateway.sources.instances_answered();
+    gateway.sources.record_instances_answer();
     gateway
         .beliefs
         .replace_instances(listed, next, Instant::now());
@@ -186,7 +187,7 @@
     let wait = gateway.store_wait();
     let call = gateway.platform.follow_instances(from, wait);
     let (changes, next) = with_timeout(call, wait + READ_TIMEOUT).await?;
-    gateway.sources.instances_answered();
+    gateway.sources.record_instances_answer();
     let has_changes = !changes.is_empty();
     for change in changes {
         match change {
@@ -200,19 +201,19 @@
     }
     gateway.beliefs.advance_directory(next);
     gateway.beliefs.directory_read();
-    // A question without news was held for the whole time.
+    // The store held a request without changes for the whole wait.
     let held_until = asked_at + wait;
     let was_held = !has_changes && Instant::now() >= held_until;
     let as_of = if was_held { held_until } else { asked_at };
     gateway.beliefs.directory_vouched(as_of);
     if has_changes {
-        sleep(GATHER_TIME).await;
+        sleep(CHANGE_BATCH_TIME).await;
     }
     Ok(next)
 }
 
-/// Forgets instances that are gone for good and keeps shares of connections
-/// up to date. Runs until the process ends.
+/// Forgets instances that are gone for good and refreshes shares of connections. Runs until
+/// the process ends.
 pub async fn expire_instances<P: Platform>(gateway: Arc<Gateway<P>>) {
     loop {
         sleep(EXPIRY_INTERVAL).await;
@@ -229,15 +230,15 @@
     }
 }
 
-/// How often unused connections are looked for where nodes are many.
-const UNUSED_INTERVAL: Duration = Duration::from_millis(100);
+/// How often unused connections are closed where there are too few for all nodes.
+const UNUSED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Closes unused connections where there are too few for all nodes. Runs until
 /// the process ends.
 pub async fn close_unused_connections<P: Platform>(gateway: Arc<Gateway<P>>) {
     loop {
         if gateway.pools.is_crowded() {
-            sleep(UNUSED_INTERVAL).await;
+            sleep(UNUSED_CHECK_INTERVAL).await;
             gateway.pools.close_unused();
         } else {
             sleep(EXPIRY_INTERVAL).await;
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -11,7 +11,7 @@
 use rand::seq::SliceRandom;
 use tokio::time::sleep;
 
-use crate::feed::{self, Patience};
+use crate::feed::{self, StaleLimit};
 use crate::fleet;
 use crate::gateway::Gateway;
 use crate::ports::{Platform, StoreError};
@@ -19,17 +19,17 @@
 use crate::state::{FleetSource, ReadReason, ReaderAddresses};
 
 /// How often a node that reads the store looks whether it still should.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause before another reader is tried.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 /// For how long a node reads the store itself before it tries readers again.
-const ALONE_TIME: Duration = Duration::from_millis(5_000);
+const STANDALONE_READ_TIME: Duration = Duration::from_millis(5_000);
 /// Readers of the own region that are tried in a first round, and of others.
 const FIRST_ROUND: [usize; 2] = [3, 2];
 /// First pause of a node that starts after the store gave no answer; it doubles.
-const FIRST_START_PAUSE: Duration = Duration::from_millis(100);
+const MIN_START_PAUSE: Duration = Duration::from_millis(100);
 /// Longest of these pauses. All nodes may be starting.
-const LONGEST_START_PAUSE: Duration = Duration::from_millis(1_500);
+const MAX_START_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Chooses the source as the fleet changes and readers are lost. Runs until the
 /// process ends.
@@ -37,9 +37,9 @@
     let mut follower = Follower::new();
     loop {
         match gateway.source() {
-            FleetSource::Unknown => join(&gateway).await,
+            FleetSource::Unknown => discover_readers(&gateway).await,
             FleetSource::Store => {
-                read_for_others(&gateway).await;
+                serve_as_reader(&gateway).await;
                 follower = Follower::new();
             }
             FleetSource::Readers(readers) => {
@@ -51,38 +51,38 @@
 }
 
 /// Finds out who reads the store, and takes it up if nobody does.
-async fn join<P: Platform>(gateway: &Gateway<P>) {
+async fn discover_readers<P: Platform>(gateway: &Gateway<P>) {
     let starts_with_all = gateway.settings.is_first_start && gateway.fleet.size() == 0;
     if !starts_with_all {
-        look_until_answered(gateway).await;
+        read_fleet_until_answered(gateway).await;
         if gateway.source() != FleetSource::Unknown {
             return;
         }
     }
     let link_delay = link_delay(gateway.settings.bandwidth);
     sleep(claim_delay(rand::random()) + link_delay).await;
-    look_until_answered(gateway).await;
+    read_fleet_until_answered(gateway).await;
     if gateway.source() == FleetSource::Unknown {
         gateway.fleet.start_reading(fleet::own_node(gateway));
     }
 }
 
-async fn look_until_answered<P: Platform>(gateway: &Gateway<P>) {
-    let mut pause = FIRST_START_PAUSE;
+async fn read_fleet_until_answered<P: Platform>(gateway: &Gateway<P>) {
+    let mut pause = MIN_START_PAUSE;
     while let Err(error) = registration::read_fleet(gateway).await {
-        log_look_failure(gateway, error);
+        log_read_failure(gateway, error);
         sleep(pause.mul_f64(rand::random_range(0.5..1.5))).await;
-        pause = (pause * 2).min(LONGEST_START_PAUSE);
+        pause = (pause * 2).min(MAX_START_PAUSE);
     }
 }
 
-fn log_look_failure<P: Platform>(gateway: &Gateway<P>, error: StoreError) {
+fn log_read_failure<P: Platform>(gateway: &Gateway<P>, error: StoreError) {
     gateway.metrics.store_failures.add();
     Event::info("look_failed").field("error", error).log();
 }
 
 /// Reads the store as one of the fleet's readers, for as long as the node is one.
-async fn read_for_others<P: Platform>(gateway: &Gateway<P>) {
+async fn serve_as_reader<P: Platform>(gateway: &Gateway<P>) {
     gateway.fleet.start_reading(fleet::own_node(gateway));
     // Whoever replaces a primary asks those who are listed.
     if !gateway.sources.is_reading()
@@ -92,8 +92,8 @@
         sleep(RECONNECT_PAUSE.mul_f64(rand::random_range(0.5..1.5))).await;
         return;
     }
-    gateway.sources.read(ReadReason::Chosen);
-    sleep(LOOK_INTERVAL).await;
+    gateway.sources.start_reading(ReadReason::Chosen);
+    sleep(ROLE_CHECK_INTERVAL).await;
 }
 
 /// A node that follows readers, or looks for one.
@@ -128,21 +128,21 @@
 
     async fn step<P: Platform>(&mut self, gateway: &Arc<Gateway<P>>, readers: &ReaderAddresses) {
         if self.search.failed_readers() == 0 || self.order.is_empty() {
-            self.order = order(readers);
+            self.order = retry_order(readers);
         }
         let situation = self.situation(gateway);
         if situation.now >= self.trusted_until && !gateway.sources.is_reading() {
             gateway.beliefs.directory_disturbed();
         }
         match self.search.next(&situation) {
-            Step::Follow => self.follow(gateway, Patience::UntilStale).await,
-            Step::Stay(until) => self.follow(gateway, Patience::Until(until)).await,
-            Step::Look => self.look(gateway).await,
-            Step::Read => self.read_alone(gateway).await,
+            Step::Follow => self.follow(gateway, StaleLimit::UntilStale).await,
+            Step::Stay(until) => self.follow(gateway, StaleLimit::Until(until)).await,
+            Step::Look => self.read_fleet(gateway).await,
+            Step::Read => self.read_without_reader(gateway).await,
         }
     }
 
-    async fn follow<P: Platform>(&mut self, gateway: &Arc<Gateway<P>>, patience: Patience) {
+    async fn follow<P: Platform>(&mut self, gateway: &Arc<Gateway<P>>, stale_limit: StaleLimit) {
         let next = self.search.failed_readers() % self.order.len().max(1);
         let (Some(reader), Some(key)) = (self.order.get(next).copied(), gateway.fleet.key()) else {
             // The fleet has changed since it was looked at.
@@ -150,7 +150,7 @@
             return;
         };
         let trusted_before = self.trusted_until;
-        let lost = feed::follow(gateway, reader, &key, patience, &mut self.trusted_until).await;
+        let lost = feed::follow(gateway, reader, &key, stale_limit, &mut self.trusted_until).await;
         let was_trusted = self.trusted_until != trusted_before;
         Event::info("reader_lost")
             .field("reader", reader)
@@ -166,31 +166,31 @@
         sleep(RECONNECT_PAUSE.mul_f64(rand::random_range(0.5..1.5))).await;
     }
 
-    async fn look<P: Platform>(&mut self, gateway: &Gateway<P>) {
-        let looked = registration::read_fleet(gateway).await;
-        match looked {
+    async fn read_fleet<P: Platform>(&mut self, gateway: &Gateway<P>) {
+        let result = registration::read_fleet(gateway).await;
+        match result {
             // Other readers may be listed now.
             Ok(()) => self.order.clear(),
-            Err(error) => log_look_failure(gateway, error),
+            Err(error) => log_read_failure(gateway, error),
         }
         let situation = self.situation(gateway);
         self.search
-            .looked(looked.is_ok(), &situation, rand::random());
+            .looked(result.is_ok(), &situation, rand::random());
     }
 
-    async fn read_alone<P: Platform>(&mut self, gateway: &Gateway<P>) {
+    async fn read_without_reader<P: Platform>(&mut self, gateway: &Gateway<P>) {
         if let Err(error) = registration::register(gateway).await {
             registration::log_failure(gateway, error);
         }
-        gateway.sources.read(ReadReason::NoReaderTrusted);
-        sleep(ALONE_TIME.mul_f64(rand::random_range(0.8..1.2))).await;
+        gateway.sources.start_reading(ReadReason::NoReaderTrusted);
+        sleep(STANDALONE_READ_TIME.mul_f64(rand::random_range(0.8..1.2))).await;
         self.search = Search::default();
     }
 }
 
 /// Readers in the order in which they are tried: some near ones, some far ones,
 /// then the others.
-fn order(readers: &ReaderAddresses) -> Vec<SocketAddr> {
+fn retry_order(readers: &ReaderAddresses) -> Vec<SocketAddr> {
     let [near, far] = FIRST_ROUND;
     let (mut first, mut rest) = shuffled(&readers.near, near);
     let (first_far, rest_far) = shuffled(&readers.far, far);
--- a/crates/linkhold-gateway/src/state/sources.rs
+++ b/crates/linkhold-gateway/src/state/sources.rs
@@ -72,13 +72,13 @@
     }
 
     /// The store answered a question about the configuration.
-    pub fn configuration_answered(&self) {
+    pub fn record_configuration_answer(&self) {
         lock(&self.answers).configuration = Some(Instant::now());
         self.answered.send_modify(|count| *count += 1);
     }
 
     /// The store answered a question about instances.
-    pub fn instances_answered(&self) {
+    pub fn record_instances_answer(&self) {
         lock(&self.answers).instances = Some(Instant::now());
     }
 
@@ -102,12 +102,12 @@
     }
 
     /// A reader is followed and trusted from now on.
-    pub fn follow(&self) {
+    pub fn start_following(&self) {
         self.mode.send_replace(Mode::Following);
     }
 
     /// The store is read from now on.
-    pub fn read(&self, reason: ReadReason) {
+    pub fn start_reading(&self, reason: ReadReason) {
         if self.mode.send_replace(Mode::Reading) != Mode::Reading {
             Event::info("store_read")
                 .field("reason", format_args!("{reason:?}"))
--- a/crates/linkhold-gateway/src/store_call.rs
+++ b/crates/linkhold-gateway/src/store_call.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store: each has a timeout and is counted by its reason
+//! Calls to the platform's store. Each has a timeout and is counted by its reason
 //! ([`crate::metrics::Metrics::store_calls`]).
 
 use std::time::Duration;
@@ -8,22 +8,21 @@
 use crate::metrics::Label;
 use crate::ports::StoreError;
 
-/// How long the store may take for a call that it need not hold, until the
-/// beginning of its answer.
+/// How long the store may take until the beginning of its answer to a call that it need
+/// not hold.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a whole answer may take, as long as it arrives: [`CALL_TIMEOUT`], and
-/// 3.2 s for two megabytes, the configuration of a fleet of hundreds of services,
-/// over a link of 10 Mbit/s that others use as well.
+/// How long a whole answer may take: [`CALL_TIMEOUT`] and 3.2 s for two megabytes, the
+/// configuration of a fleet of hundreds of services, over a shared link of 10 Mbit/s.
 pub(crate) const READ_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Why the store is called.
+/// Why the store is called; a label of the metric that counts its calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallReason {
-    /// A node that starts, or has lost its readers, looks at the fleet.
+    /// A node that starts, or has lost its readers, reads the fleet.
     Look,
-    /// The key between nodes is made.
+    /// A row shared by all nodes is written: the key between them, or the store's era.
     Key,
-    /// A row is written.
+    /// A node's row is written.
     Register,
     /// A reader reads the fleet.
     Fleet,
@@ -35,7 +34,7 @@
     Lease,
     /// All nodes are listed before a primary is replaced.
     List,
-    /// A row is removed.
+    /// A node's row is removed.
     Remove,
 }
 
@@ -57,7 +56,7 @@
     }
 }
 
-/// Makes a call that must be answered within `limit`.
+/// Makes a call to the store; fails with `NoAnswer` after `limit`.
 pub(crate) async fn with_timeout<T>(
     call: impl Future<Output = Result<T, StoreError>>,
     limit: Duration,
--- a/crates/linkhold-gateway/src/zone_map.rs
+++ b/crates/linkhold-gateway/src/zone_map.rs
@@ -8,9 +8,9 @@
 /// The zone of this node and the regions of all zones.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneMap {
-    /// The node's zone.
+    /// The zone of this node.
     pub zone: Arc<str>,
-    /// Region of each zone.
+    /// The region of each zone.
     pub regions: HashMap<Arc<str>, Arc<str>>,
 }
 
@@ -23,12 +23,12 @@
             .unwrap_or_else(|| Arc::from(zone))
     }
 
-    /// The node's region.
+    /// The region of this node.
     pub fn own_region(&self) -> Arc<str> {
         self.region(&self.zone)
     }
 
-    /// How far a zone is from the node.
+    /// The distance of a zone from this node.
     pub fn distance(&self, zone: &str) -> Distance {
         if zone == &*self.zone {
             return Distance::Zone;
