--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout_at;
 
 use super::framing::{read_length, write_message};
-use super::told::{ToldFleet, ToldInstances};
+use super::pending::{PendingFleet, PendingInstances};
 use crate::beliefs::lock;
 use crate::confirmation::CONFIRMATION_INTERVAL;
 use crate::fleet;
@@ -26,42 +26,43 @@
 use crate::registration;
 use crate::state::FleetSource;
 
-/// Longest time without a byte of a message that has begun: a reader's link may be
-/// shared by the first words to many followers.
-const STALL_TIME: Duration = Duration::from_millis(400);
+/// Longest time without a byte of a message that has begun: the first messages to many
+/// followers may share a reader's link.
+const STALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a reader that is trusted may take to have a row written that lists this
-/// node: two of its renewals.
+/// How long a trusted reader may take to write a row that lists this node: two of this
+/// node's renewals.
 const LISTING_TIMEOUT: Duration = FOLLOWER_RENEWAL.saturating_mul(2);
 
-/// Why a reader is no longer followed.
+/// Why a reader is no longer followed, as logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LossReason {
-    /// It could not be reached.
+    /// The reader could not be reached.
     Unreachable,
-    /// It broke off, or said something that makes no sense.
+    /// The stream broke, or a message could not be decoded.
     Broken,
-    /// It was silent, or had itself not heard from the store.
+    /// The reader was silent, or had no recent answer from the store itself.
     Stale,
-    /// It lists this node, which had no permission any more: it is to come anew.
+    /// The reader lists this node, but its permission had lapsed and the notice held no
+    /// claims of leases: it has to subscribe anew.
     NotAdmitted,
-    /// It does not list this node.
+    /// The reader does not list this node.
     NotListed,
-    /// This node is to follow others now, or to read the store.
+    /// This node has to follow other readers, or to read the store.
     NoLongerChosen,
 }
 
-/// How long a reader is followed.
+/// How long a reader is followed that has lost the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StaleLimit {
-    /// Until it has lost the store.
+    /// Not at all: the reader is given up once its data is stale.
     UntilStale,
-    /// Until this moment if it has lost the store; it may find it back before.
+    /// Until this moment; the reader may regain the store before.
     Until(Instant),
 }
 
 impl StaleLimit {
-    /// The moment, unless stale_limit ends before.
+    /// The moment, or the end of the limit if that is earlier.
     fn limit(self, moment: Instant) -> Instant {
         match self {
             Self::UntilStale => moment,
@@ -70,9 +71,9 @@
     }
 }
 
-/// Follows a reader until it is lost or no longer one of this node's readers.
-/// `trusted_until` tells how long what was told may be used; it is set whenever
-/// the reader is trusted.
+/// Follows a reader until it is lost or no longer one of this node's readers. Sets
+/// `trusted_until`, the moment until which the received data may be used, whenever the
+/// reader is trusted.
 pub(crate) async fn follow<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     reader: SocketAddr,
@@ -80,12 +81,13 @@
     stale_limit: StaleLimit,
     trusted_until: &mut Instant,
 ) -> LossReason {
-    let first_word_until = stale_limit.limit(Instant::now() + gateway.freshness.first_word_time());
-    let connecting = timeout_at(first_word_until.into(), TcpStream::connect(reader)).await;
+    let first_message_deadline =
+        stale_limit.limit(Instant::now() + gateway.freshness.first_word_time());
+    let connecting = timeout_at(first_message_deadline.into(), TcpStream::connect(reader)).await;
     let Ok(Ok(mut stream)) = connecting else {
         return LossReason::Unreachable;
     };
-    // A socket that refuses it still works, only later.
+    // Without the option the socket still works, with a higher latency.
     let _ = stream.set_nodelay(true);
     if write_message(&mut stream, &FeedMessage::Subscribe, key)
         .await
@@ -96,28 +98,27 @@
     let (mut reading, mut writing) = stream.into_split();
     let outbox = gateway.reader_link.open();
     let renewals = Mutex::new(SentRenewals::starting_at(rand::random()));
-    let mut listener = Listener {
+    let mut receiver = FeedReceiver {
         gateway,
         reader,
         stale_limit,
         trusted_until,
         renewals: &renewals,
         followed_at: Instant::now(),
-        told: Vec::new(),
-        instances: ToldInstances::default(),
-        fleet: ToldFleet::default(),
+        pending: Vec::new(),
+        instances: PendingInstances::default(),
+        fleet: PendingFleet::default(),
     };
     let lost = tokio::select! {
-        lost = listener.listen(&mut reading, first_word_until, key) => lost,
-        () = speak(gateway, &mut writing, outbox, &renewals, key) => LossReason::Broken,
+        lost = receiver.receive(&mut reading, first_message_deadline, key) => lost,
+        () = send_messages(gateway, &mut writing, outbox, &renewals, key) => LossReason::Broken,
     };
     gateway.reader_link.close();
     lost
 }
 
-/// Tells the reader at intervals that this node lives, and passes questions on,
-/// until it cannot.
-async fn speak<P: Platform>(
+/// Sends renewals at intervals, and the messages of the outbox, until the stream fails.
+async fn send_messages<P: Platform>(
     gateway: &Gateway<P>,
     stream: &mut OwnedWriteHalf,
     mut outbox: mpsc::UnboundedReceiver<FeedMessage>,
@@ -128,13 +129,14 @@
     loop {
         let message = match timeout_at(renew_at.into(), outbox.recv()).await {
             Ok(Some(question)) => question,
-            // The link was opened anew.
+            // The outbox was replaced by that of a new link.
             Ok(None) => return,
             Err(_) => {
                 let interval = renewal_interval(gateway);
                 renew_at = Instant::now() + interval.mul_f64(rand::random_range(0.8..1.2));
                 let node = fleet::own_node(gateway);
-                // A node that cannot be asked has no permission.
+                // A node that other nodes cannot ask gets no permission: its renewals have
+                // no numbers.
                 let counts = node.address.is_some();
                 FeedMessage::Renewal {
                     node,
@@ -148,7 +150,7 @@
     }
 }
 
-/// Whoever goes on by confirmations alone asks for them often.
+/// The interval between renewals: shorter while the permission rests on confirmations alone.
 fn renewal_interval<P: Platform>(gateway: &Gateway<P>) -> Duration {
     if gateway.beliefs.permission.needs_confirmation() {
         CONFIRMATION_INTERVAL
@@ -157,40 +159,40 @@
     }
 }
 
-/// Takes in what a reader says.
-struct Listener<'a, P: Platform> {
+/// Receives and adopts a reader's messages.
+struct FeedReceiver<'a, P: Platform> {
     gateway: &'a Gateway<P>,
     reader: SocketAddr,
     stale_limit: StaleLimit,
     trusted_until: &'a mut Instant,
-    /// What this node has told the reader of itself.
+    /// The renewals that this node sent to the reader.
     renewals: &'a Mutex<SentRenewals>,
     /// When this stream was opened.
     followed_at: Instant,
-    /// What was told and not vouched for yet.
-    told: Vec<FeedMessage>,
-    /// The same of instances.
-    instances: ToldInstances,
-    /// The same of the fleet.
-    fleet: ToldFleet,
+    /// Received messages that no beat has confirmed yet.
+    pending: Vec<FeedMessage>,
+    /// Instances that no beat has confirmed yet.
+    instances: PendingInstances,
+    /// The fleet, with changes that no beat has confirmed yet.
+    fleet: PendingFleet,
 }
 
-impl<P: Platform> Listener<'_, P> {
-    /// Listens until the reader is not to be followed any more.
-    async fn listen(
+impl<P: Platform> FeedReceiver<'_, P> {
+    /// Receives messages until the reader is lost.
+    async fn receive(
         &mut self,
         stream: &mut OwnedReadHalf,
-        first_word_until: Instant,
+        first_message_deadline: Instant,
         key: &PeerKey,
     ) -> LossReason {
-        let mut silent_at = first_word_until;
+        let mut silent_at = first_message_deadline;
         loop {
             let message = match self.next_message(stream, silent_at, key).await {
                 Ok(message) => message,
                 Err(lost) => return lost,
             };
             let next = match message {
-                FeedMessage::Beat { age, list } => self.vouched(age, list),
+                FeedMessage::Beat { age, list } => self.handle_beat(age, list),
                 FeedMessage::EvidenceAnswer(answer) => {
                     self.gateway.reader_link.deliver(answer);
                     continue;
@@ -203,19 +205,19 @@
                     if claims.is_some() {
                         registration::adopt_promotion_records(self.gateway, &records);
                     }
-                    if let Err(lost) = self.listed(number, claims) {
+                    if let Err(lost) = self.handle_listed(number, claims) {
                         return lost;
                     }
                     continue;
                 }
                 FeedMessage::Confirmed { number, agreed } => {
-                    self.confirmed(number, &agreed);
+                    self.handle_confirmed(number, &agreed);
                     continue;
                 }
                 message => {
-                    self.take(message);
-                    // What vouches for it comes right after.
-                    silent_at = silent_at.max(Instant::now() + STALL_TIME);
+                    self.hold(message);
+                    // The beat that confirms the message follows at once.
+                    silent_at = silent_at.max(Instant::now() + STALL_TIMEOUT);
                     continue;
                 }
             };
@@ -226,15 +228,19 @@
         }
     }
 
-    /// Whether the reader, which is trusted, has had no row written that lists this node
-    /// for so long that it may speak for no primary any more.
+    /// Whether the trusted reader has not listed this node for so long that the node has no
+    /// permission any more.
     fn is_not_listed(&self, now: Instant) -> bool {
         let had_time = now.saturating_duration_since(self.followed_at) > LISTING_TIMEOUT;
         had_time && !self.gateway.beliefs.permission.is_held()
     }
 
-    /// The reader has a row written that lists this node.
-    fn listed(&self, number: u64, claims: Option<Vec<RecentClaim>>) -> Result<(), LossReason> {
+    /// Handles the notice that a written row lists this node.
+    fn handle_listed(
+        &self,
+        number: u64,
+        claims: Option<Vec<RecentClaim>>,
+    ) -> Result<(), LossReason> {
         let Some(sent_at) = lock(self.renewals).confirmed(number) else {
             return Ok(());
         };
@@ -245,13 +251,13 @@
                 permission.record_admission(sent_at, &claims);
                 Ok(())
             }
-            // Whoever comes anew is told of the leases.
+            // A reader sends the claims to new followers only.
             (Renewed::ToBeAdmitted, None) => Err(LossReason::NotAdmitted),
         }
     }
 
-    /// Enough nodes confirmed to the reader that it may go on.
-    fn confirmed(&self, number: u64, agreed: &[String]) {
+    /// Handles the notice that enough nodes confirmed the reader's permission.
+    fn handle_confirmed(&self, number: u64, agreed: &[String]) {
         if let Some(sent_at) = lock(self.renewals).confirmed(number) {
             self.gateway
                 .beliefs
@@ -260,25 +266,26 @@
         }
     }
 
-    /// A moment that the reader told, by this node's clock.
+    /// Converts a moment in a reader's message to this node's clock; `None` if its renewal is
+    /// not known.
     fn moment_of(&self, list: Option<ListMoment>) -> Option<Instant> {
         let list = list?;
         list.after(lock(self.renewals).sent_at(list.renewal)?)
     }
 
-    /// Keeps what is told until it is vouched for.
-    fn take(&mut self, message: FeedMessage) {
+    /// Holds a message until a beat confirms it.
+    fn hold(&mut self, message: FeedMessage) {
         match message {
             FeedMessage::Instances(known) => self.instances.replace(known),
             FeedMessage::InstanceChanges(changes) => self.instances.change(changes),
             FeedMessage::Fleet(fleet) => self.fleet.replace(fleet),
             FeedMessage::FleetChanges(changes) => self.fleet.change(changes),
-            message => self.told.push(message),
+            message => self.pending.push(message),
         }
     }
 
-    /// The next message, of which something must have come by `silent_at`; the rest
-    /// may take longer as long as it keeps coming.
+    /// Receives the next message. Its length must arrive by `silent_at`; the rest may take
+    /// longer as long as bytes keep arriving.
     async fn next_message(
         &self,
         stream: &mut OwnedReadHalf,
@@ -291,10 +298,10 @@
             Ok(Err(_)) => return Err(LossReason::Broken),
             Err(_) => return Err(LossReason::Stale),
         };
-        let most = Instant::now() + self.gateway.freshness.trust;
+        let deadline = Instant::now() + self.gateway.freshness.trust;
         let mut body = BytesMut::with_capacity(length);
         while body.len() < length {
-            let stalls_at = silent_at.max(Instant::now() + STALL_TIME).min(most);
+            let stalls_at = silent_at.max(Instant::now() + STALL_TIMEOUT).min(deadline);
             let mut rest = (&mut *stream).take((length - body.len()) as u64);
             match timeout_at(stalls_at.into(), rest.read_buf(&mut body)).await {
                 Ok(Ok(0) | Err(_)) => return Err(LossReason::Broken),
@@ -305,8 +312,13 @@
         decode_feed(&body, key).map_err(|_| LossReason::Broken)
     }
 
-    /// The reader vouches for what it told before; until when it may be silent.
-    fn vouched(&mut self, age: Duration, list: Option<ListMoment>) -> Result<Instant, LossReason> {
+    /// Handles a beat: adopts the pending messages if the reader's data, `age` old, is
+    /// trusted. Returns until when the reader may be silent.
+    fn handle_beat(
+        &mut self,
+        age: Duration,
+        list: Option<ListMoment>,
+    ) -> Result<Instant, LossReason> {
         let now = Instant::now();
         let freshness = self.gateway.freshness;
         if !freshness.is_trusted(age, Duration::ZERO) {
@@ -315,13 +327,14 @@
                 StaleLimit::Until(_) | StaleLimit::UntilStale => Err(LossReason::Stale),
             };
         }
-        for message in self.told.drain(..) {
+        for message in self.pending.drain(..) {
             adopt(self.gateway, message);
         }
         self.fleet.adopt(self.gateway);
         self.instances.adopt(self.gateway);
         self.gateway.beliefs.directory_read();
-        // Time on the way makes this too late, by less than the bound leaves.
+        // The transmission time makes this moment too late, by less than the bound on
+        // changes leaves.
         if let Some(moment) = now.checked_sub(age) {
             self.gateway.beliefs.evacuations_vouched(moment);
         }
@@ -342,7 +355,7 @@
     }
 }
 
-/// Takes in what a reader has told and vouched for.
+/// Adopts a message that a beat has confirmed.
 fn adopt<P: Platform>(gateway: &Gateway<P>, message: FeedMessage) {
     match message {
         FeedMessage::Configuration(configuration) => {
@@ -352,8 +365,8 @@
             let beliefs = &gateway.beliefs;
             beliefs.replace_evacuations(known.zones, known.place, Instant::now());
         }
-        // A beat vouches only, instances and the fleet are kept apart; a follower has no
-        // use for the others.
+        // A beat only confirms, instances and the fleet are held apart, and a follower has
+        // no use for the others.
         FeedMessage::Beat { .. }
         | FeedMessage::Fleet(_)
         | FeedMessage::FleetChanges(_)
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -17,10 +17,10 @@
 use crate::beliefs::{Beliefs, lock};
 use crate::state::Fleet;
 
-/// How long an encoded fleet is told before it is looked whether it has changed.
+/// How long an encoded fleet is sent before it is compared with the present one.
 pub(super) const FLEET_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// An encoded message and the version of what it tells.
+/// An encoded message and the version of its content.
 struct VersionedFrame {
     version: u64,
     frame: Frame,
@@ -30,40 +30,40 @@
 #[derive(Default)]
 pub(crate) struct FeedFrames {
     configuration: Mutex<Option<VersionedFrame>>,
-    instances: Mutex<ChangingFrames<InstanceSnapshot>>,
+    instances: Mutex<SnapshotFrames<InstanceSnapshot>>,
     evacuations: Mutex<Option<VersionedFrame>>,
     fleet: Mutex<FleetFrames>,
 }
 
 impl FeedFrames {
-    /// The configuration; encoded anew when its version has changed.
+    /// Returns the frame of the configuration, encoded anew if its version has changed.
     pub fn configuration(&self, configuration: &Configuration, key: &PeerKey) -> Frame {
         let message = || FeedMessage::Configuration(configuration.clone());
         cached(&self.configuration, configuration.version, key, message)
     }
 
-    /// The instances as of a revision, which counts changes of their list and of
-    /// the configuration, for a follower that was told `told`: what has changed
-    /// since, or all of them. `None` if nothing has.
+    /// Returns the instances as of a revision, which counts changes of their list and of
+    /// the configuration, and their frame for a follower that was last sent `sent`: the
+    /// changes since, or all instances. No frame if nothing has changed.
     pub fn instances(
         &self,
         revision: u64,
-        told: Option<&Arc<InstanceSnapshot>>,
+        sent: Option<&Arc<InstanceSnapshot>>,
         beliefs: &Beliefs,
         key: &PeerKey,
     ) -> (Arc<InstanceSnapshot>, Option<Frame>) {
         let mut frames = lock(&self.instances);
-        let is_known = |present: &Arc<InstanceSnapshot>| present.revision == revision;
-        let present = match frames.present.clone().filter(is_known) {
-            Some(present) => present,
+        let is_known = |current: &Arc<InstanceSnapshot>| current.revision == revision;
+        let current = match frames.current.clone().filter(is_known) {
+            Some(current) => current,
             None => frames.replace(InstanceSnapshot::take(revision, beliefs)),
         };
-        let frame = frames.frame_since(told, &present, key);
-        (present, frame)
+        let frame = frames.frame_since(sent, &current, key);
+        (current, frame)
     }
 
-    /// The zones that are evacuated as of a place in the store's changes; encoded
-    /// anew when that has moved.
+    /// Returns the frame of the evacuated zones as of a revision of the store, encoded anew
+    /// if the revision has changed.
     pub fn evacuations(&self, zones: &[ZoneName], as_of: StorePlace, key: &PeerKey) -> Frame {
         let message = || {
             FeedMessage::Evacuations(FeedEvacuations {
@@ -74,83 +74,81 @@
         cached(&self.evacuations, as_of.to_bits(), key, message)
     }
 
-    /// The fleet for a follower that was told `told`: what has changed since, or all of
-    /// it, with what it is now; no frame if nothing has changed. `None` as long as not all
+    /// Returns the present fleet and its frame for a follower that was last sent `sent`: the
+    /// changes since, or all nodes. No frame if nothing has changed; `None` while not all
     /// nodes are known.
     pub fn fleet(
         &self,
-        told: Option<&Arc<FleetSnapshot>>,
+        sent: Option<&Arc<FleetSnapshot>>,
         fleet: &Fleet,
         key: &PeerKey,
     ) -> Option<(Arc<FleetSnapshot>, Option<Frame>)> {
         let mut frames = lock(&self.fleet);
-        let present = frames.refresh(fleet)?;
-        let frame = frames.frames.frame_since(told, &present, key);
-        Some((present, frame))
+        let current = frames.refresh(fleet)?;
+        let frame = frames.frames.frame_since(sent, &current, key);
+        Some((current, frame))
     }
 }
 
-/// Something that changes, as a reader knew it at one time.
+/// State of the reader at one time.
 trait Snapshot {
-    /// Differs whenever it does.
+    /// Number that differs between different snapshots.
     fn revision(&self) -> u64;
 
-    /// All of it.
-    fn whole(&self) -> FeedMessage;
+    /// The message with the complete state.
+    fn full(&self) -> FeedMessage;
 
-    /// What has changed since; `None` if nothing has.
+    /// The message with the changes since an earlier snapshot; `None` if there are none.
     fn changes_since(&self, before: &Self) -> Option<FeedMessage>;
 }
 
-/// The present state of something that changes, and frames that tell it.
-struct ChangingFrames<S> {
-    present: Option<Arc<S>>,
-    whole: Option<Frame>,
-    /// Changes since an older revision; `None` if there are none.
+/// The current snapshot, and its encoded frames.
+struct SnapshotFrames<S> {
+    current: Option<Arc<S>>,
+    full: Option<Frame>,
+    /// Frames of the changes since older revisions; `None` where there are none.
     since: HashMap<u64, Option<Frame>>,
 }
 
-impl<S> Default for ChangingFrames<S> {
+impl<S> Default for SnapshotFrames<S> {
     fn default() -> Self {
         Self {
-            present: None,
-            whole: None,
+            current: None,
+            full: None,
             since: HashMap::new(),
         }
     }
 }
 
-impl<S: Snapshot> ChangingFrames<S> {
-    fn replace(&mut self, present: S) -> Arc<S> {
-        let present = Arc::new(present);
-        self.present = Some(present.clone());
-        self.whole = None;
+impl<S: Snapshot> SnapshotFrames<S> {
+    fn replace(&mut self, current: S) -> Arc<S> {
+        let current = Arc::new(current);
+        self.current = Some(current.clone());
+        self.full = None;
         self.since.clear();
-        present
+        current
     }
 
-    /// All of it for a follower that was told nothing, what has changed since for others.
-    fn frame_since(&mut self, told: Option<&Arc<S>>, present: &S, key: &PeerKey) -> Option<Frame> {
-        let Some(told) = told else {
-            let whole = self
-                .whole
-                .get_or_insert_with(|| frame(&present.whole(), key));
-            return Some(whole.clone());
+    /// The complete state for a follower that was sent nothing, the changes since for others.
+    fn frame_since(&mut self, sent: Option<&Arc<S>>, current: &S, key: &PeerKey) -> Option<Frame> {
+        let Some(sent) = sent else {
+            let full = self.full.get_or_insert_with(|| frame(&current.full(), key));
+            return Some(full.clone());
         };
-        if told.revision() == present.revision() {
+        if sent.revision() == current.revision() {
             return None;
         }
-        let encode = || Some(frame(&present.changes_since(told)?, key));
+        let encode = || Some(frame(&current.changes_since(sent)?, key));
         self.since
-            .entry(told.revision())
+            .entry(sent.revision())
             .or_insert_with(encode)
             .clone()
     }
 }
 
-/// All instances as a reader knew them at one time.
+/// All instances as a reader knew them at one time, each with whether it is listed.
 pub(crate) struct InstanceSnapshot {
-    /// Counts changes of their list and of the configuration.
+    /// Counts changes of the list of instances and of the configuration.
     revision: u64,
     place: StorePlace,
     instances: HashMap<InstanceId, (Instance, bool)>,
@@ -158,7 +156,7 @@
 
 impl InstanceSnapshot {
     fn take(revision: u64, beliefs: &Beliefs) -> Self {
-        // Read first: what is listed may be newer than that, never older.
+        // Read first: the instances may be newer than this, never older.
         let place = beliefs.directory_place();
         let instances = beliefs.all_instances().into_iter();
         Self {
@@ -176,7 +174,7 @@
         self.revision
     }
 
-    fn whole(&self) -> FeedMessage {
+    fn full(&self) -> FeedMessage {
         FeedMessage::Instances(FeedInstances {
             place: self.place,
             instances: self.instances.values().cloned().collect(),
@@ -194,14 +192,14 @@
             changed: changed.map(|(_, entry)| entry.clone()).collect(),
             gone: before.instances.keys().filter(is_gone).cloned().collect(),
         };
-        let is_news = !changes.changed.is_empty() || !changes.gone.is_empty();
-        is_news.then_some(FeedMessage::InstanceChanges(changes))
+        let has_changes = !changes.changed.is_empty() || !changes.gone.is_empty();
+        has_changes.then_some(FeedMessage::InstanceChanges(changes))
     }
 }
 
 /// The fleet as a reader knew it at one time.
 pub(crate) struct FleetSnapshot {
-    /// Counts its changes.
+    /// Counts changes of the fleet.
     revision: u64,
     fleet: FeedFleet,
 }
@@ -211,7 +209,7 @@
         self.revision
     }
 
-    fn whole(&self) -> FeedMessage {
+    fn full(&self) -> FeedMessage {
         FeedMessage::Fleet(self.fleet.clone())
     }
 
@@ -235,36 +233,37 @@
     nodes.map(|node| (node.name.as_str(), node)).collect()
 }
 
-/// Frames of the fleet, which is looked at from time to time: all nodes of 335 were 3.2 KB,
-/// told to each follower for every one that came or went.
+/// Frames of the fleet, refreshed at intervals: a complete fleet of 335 nodes was 3.2 KB,
+/// sent to each follower for every node that came or went.
 #[derive(Default)]
 struct FleetFrames {
-    looked_at: Option<Instant>,
-    frames: ChangingFrames<FleetSnapshot>,
+    refreshed_at: Option<Instant>,
+    frames: SnapshotFrames<FleetSnapshot>,
 }
 
 impl FleetFrames {
-    /// The fleet as it was at most [`FLEET_INTERVAL`] ago; `None` as long as not all nodes
-    /// are known.
+    /// Returns the fleet as of at most [`FLEET_INTERVAL`] ago; `None` while not all nodes are
+    /// known.
     fn refresh(&mut self, fleet: &Fleet) -> Option<Arc<FleetSnapshot>> {
-        let present = self.frames.present.clone();
+        let current = self.frames.current.clone();
         let is_recent = self
-            .looked_at
+            .refreshed_at
             .is_some_and(|at| at.elapsed() < FLEET_INTERVAL);
-        if is_recent && present.is_some() {
-            return present;
+        if is_recent && current.is_some() {
+            return current;
         }
         let fleet = fleet.for_followers()?;
-        self.looked_at = Some(Instant::now());
-        let revision = match present {
-            Some(present) if present.fleet == fleet => return Some(present),
-            Some(present) => present.revision + 1,
+        self.refreshed_at = Some(Instant::now());
+        let revision = match current {
+            Some(current) if current.fleet == fleet => return Some(current),
+            Some(current) => current.revision + 1,
             None => 0,
         };
         Some(self.frames.replace(FleetSnapshot { revision, fleet }))
     }
 }
 
+/// Returns the cached frame of a version, or encodes and caches it.
 fn cached(
     slot: &Mutex<Option<VersionedFrame>>,
     version: u64,
--- a/crates/linkhold-gateway/src/feed/framing.rs
+++ b/crates/linkhold-gateway/src/feed/framing.rs
@@ -1,4 +1,4 @@
-//! Messages on streams between nodes, each behind its length.
+//! Messages on streams between nodes, each preceded by its length.
 
 use std::io;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// How long a follower may take to take a message.
+/// How long the other node may take to accept a message.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Sends a message.
@@ -20,23 +20,24 @@
     write_frame(stream, &frame(message, key)).await
 }
 
-/// A message as it goes on a stream.
+/// An encoded message with its length, as written on a stream.
 pub(super) type Frame = Arc<[u8]>;
 
-/// Encodes a message as it goes on a stream.
+/// Encodes a message with its length.
 pub(super) fn frame(message: &FeedMessage, key: &PeerKey) -> Frame {
     framed(&encode_feed(message, key)).into()
 }
 
-/// An encoded message behind its length.
+/// Prefixes an encoded message with its length.
 pub(crate) fn framed(body: &[u8]) -> Vec<u8> {
-    // Longer than any message: the other side refuses it.
+    // A length beyond the longest message: the other side refuses it.
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
     let mut frame = length.to_be_bytes().to_vec();
     frame.extend_from_slice(body);
     frame
 }
 
+/// Writes an encoded frame; fails with `TimedOut` after [`WRITE_TIMEOUT`].
 pub(super) async fn write_frame<S: AsyncWrite + Unpin>(
     stream: &mut S,
     frame: &[u8],
@@ -55,25 +56,24 @@
     decode_feed(&body, key).map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
 }
 
-/// Reads the length of a message of at most `most` bytes.
+/// Reads the length of a message of at most `max_length` bytes.
 pub(crate) async fn read_length<S: AsyncRead + Unpin>(
     stream: &mut S,
-    most: usize,
+    max_length: usize,
 ) -> io::Result<usize> {
     let length = stream.read_u32().await? as usize;
-    if length > most {
+    if length > max_length {
         return Err(io::ErrorKind::InvalidData.into());
     }
     Ok(length)
 }
 
-/// Reads a message of at most `most` bytes as it is on the stream, without its
-/// length.
+/// Reads an encoded message of at most `max_length` bytes, without its length.
 pub(crate) async fn read_body<S: AsyncRead + Unpin>(
     stream: &mut S,
-    most: usize,
+    max_length: usize,
 ) -> io::Result<Vec<u8>> {
-    let length = read_length(stream, most).await?;
+    let length = read_length(stream, max_length).await?;
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await?;
     Ok(body)
--- a/crates/linkhold-gateway/src/feed/mod.rs
+++ b/crates/linkhold-gateway/src/feed/mod.rs
@@ -1,11 +1,11 @@
-//! The feed from nodes that read the store to those that follow them: a
-//! stream of messages, each framed by its length.
+//! The feed from readers of the store to their followers: a stream of messages, each
+//! framed by its length.
 
 mod follower;
 pub(crate) mod frames;
 pub(crate) mod framing;
+mod pending;
 mod reader;
-mod told;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,12 +23,12 @@
 
 pub(crate) use follower::{StaleLimit, follow};
 
-/// How long a node that has opened a stream may take to say what for.
+/// How long a node that opened a stream may take to send its first message.
 const OPENING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause before listening is tried again.
 const LISTEN_PAUSE: Duration = Duration::from_millis(300);
 
-/// Takes streams of other nodes. Runs until the process ends.
+/// Accepts streams from other nodes. Runs until the process ends.
 pub(crate) async fn serve_peers<P: Platform>(gateway: Arc<Gateway<P>>) {
     loop {
         if let Some(listener) = peer_listener(&gateway).await {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Listens where followers find this node: under the address by which peers are
-/// asked.
+/// Returns a listener at the address at which other nodes ask this one; `None` if it cannot
+/// be bound.
 async fn peer_listener<P: Platform>(gateway: &Gateway<P>) -> Option<TcpListener> {
     if let Some(listener) = gateway.peers.take_listener() {
         return Some(listener);
@@ -49,19 +49,19 @@
     TcpListener::bind(gateway.peers.address()?).await.ok()
 }
 
-/// Serves what another node opens a stream for.
+/// Serves a stream according to its first message.
 async fn serve_stream<P: Platform>(gateway: Arc<Gateway<P>>, mut stream: TcpStream) {
     let Some(key) = gateway.fleet.key() else {
         return;
     };
-    // A socket that refuses it still works, only later.
+    // Without the option the socket still works, with a higher latency.
     let _ = stream.set_nodelay(true);
     let opening = timeout(OPENING_TIMEOUT, read_message(&mut stream, &key)).await;
     match opening {
         Ok(Ok(FeedMessage::Subscribe)) => reader::serve(&gateway, stream, &key).await,
         Ok(Ok(FeedMessage::Relay(id))) => relay::serve(&gateway, stream, &id, &key).await,
         Ok(Ok(FeedMessage::Forward)) => forward::serve(&gateway, stream, &key).await,
-        // Whoever opened it finds it closed.
+        // The other node finds the stream closed.
         _ => {}
     }
 }
--- a/crates/linkhold-gateway/src/feed/told.rs
+++ b/crates/linkhold-gateway/src/feed/pending.rs
@@ -1,4 +1,5 @@
-//! What a reader has told its follower: a whole first, then what changes.
+//! Data received from a reader and not yet confirmed by a beat: complete at first, then
+//! changes.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,24 +10,24 @@
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
-/// The fleet as a reader has told it on this stream: all of it once, then what changes.
+/// The fleet as received on this stream: complete once, then changes.
 #[derive(Default)]
-pub(super) struct ToldFleet {
+pub(super) struct PendingFleet {
     size: usize,
     readers: Vec<FeedNode>,
     nodes: BTreeMap<String, FeedNode>,
-    /// Whether it was not vouched for yet.
-    is_news: bool,
+    /// Whether it has changed since it was last adopted.
+    has_changed: bool,
 }
 
-impl ToldFleet {
+impl PendingFleet {
     pub fn replace(&mut self, fleet: FeedFleet) {
         let nodes = fleet.nodes.into_iter();
         *self = Self {
             size: fleet.size,
             readers: fleet.readers,
             nodes: nodes.map(|node| (node.name.clone(), node)).collect(),
-            is_news: true,
+            has_changed: true,
         };
     }
 
@@ -41,12 +42,12 @@
         for name in &changes.gone {
             self.nodes.remove(name);
         }
-        self.is_news = true;
+        self.has_changed = true;
     }
 
-    /// Takes it in if it is news.
+    /// Adopts the fleet if it has changed.
     pub fn adopt<P: Platform>(&mut self, gateway: &Gateway<P>) {
-        if std::mem::take(&mut self.is_news) {
+        if std::mem::take(&mut self.has_changed) {
             let fleet = FeedFleet {
                 size: self.size,
                 readers: self.readers.clone(),
@@ -57,15 +58,14 @@
     }
 }
 
-/// What a reader has told of instances and not vouched for yet: all of them once, then what
-/// changes.
+/// Instances as received and not yet adopted: all of them once, then changes.
 #[derive(Default)]
-pub(super) struct ToldInstances {
+pub(super) struct PendingInstances {
     whole: Option<FeedInstances>,
     changes: Vec<FeedInstanceChanges>,
 }
 
-impl ToldInstances {
+impl PendingInstances {
     pub fn replace(&mut self, known: FeedInstances) {
         self.whole = Some(known);
         self.changes.clear();
@@ -75,8 +75,8 @@
         self.changes.push(changes);
     }
 
-    /// Takes them in. A change costs its own size, not that of the list: with 3,000
-    /// instances each node compared all of them for each one that changed.
+    /// Adopts the instances. The cost of a change depends on its own size, not on that of
+    /// the list: with 3,000 instances each node compared all of them for each change.
     pub fn adopt<P: Platform>(&mut self, gateway: &Gateway<P>) {
         if let Some(known) = self.whole.take() {
             adopt_instances(gateway, known);
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -1,4 +1,4 @@
-//! A reader's side of the feed: it lists a follower and tells it everything.
+//! A reader's side of the feed: it lists a follower and sends it all changes.
 
 use std::io;
 use std::sync::Arc;
@@ -23,19 +23,18 @@
 use crate::ports::Platform;
 use crate::registry::Process;
 
-/// How often a reader says that it lives.
+/// Longest interval between two beats to a follower.
 const BEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Changes that come closer together are told together.
-const GATHER_TIME: Duration = Duration::from_millis(10);
-/// How long a follower of a node that has just taken up reading waits for the
-/// store's first answers.
-const FIRST_ANSWERS_TIME: Duration = Duration::from_millis(500);
-/// How long a follower waits until a row lists it.
-const LISTING_TIME: Duration = Duration::from_millis(1_000);
+/// Changes within this time are sent together.
+const CHANGE_BATCH_TIME: Duration = Duration::from_millis(10);
+/// How long a follower of a new reader waits for the store's first answers.
+const FIRST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a follower waits for its first renewal to arrive, and again for a row to list it.
+const LISTING_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What a follower was told last.
+/// What was last sent to a follower.
 #[derive(Default)]
-struct Told {
+struct SentState {
     version: u64,
     evacuated: Vec<ZoneName>,
     instances: Option<Arc<InstanceSnapshot>>,
@@ -44,8 +43,7 @@
     fleet: Option<Arc<FleetSnapshot>>,
 }
 
-/// Serves a follower until it leaves, is to go elsewhere, or this node no longer
-/// reads the store.
+/// Serves a follower until it leaves, is shed, or this node no longer reads the store.
 pub(super) async fn serve<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     stream: TcpStream,
@@ -56,23 +54,23 @@
     let (arrived, arrival) = watch::channel(None);
     let _served = gateway.followers.start_stream();
     tokio::select! {
-        () = tell(gateway, &writing, arrival, key) => {}
-        () = hear(gateway, &mut reading, &writing, &arrived, key) => {}
+        () = send_updates(gateway, &writing, arrival, key) => {}
+        () = receive(gateway, &mut reading, &writing, &arrived, key) => {}
     }
 }
 
-/// A follower that has said who it is.
+/// A follower that has sent its first renewal.
 #[derive(Clone, Debug)]
 struct Arrival {
     process: Process,
     ticket: Ticket,
 }
 
-/// The sending half of a follower's stream, shared by all who tell it something.
+/// The sending half of a follower's stream, shared by all tasks that write to it.
 type SharedWriter = Arc<tokio::sync::Mutex<OwnedWriteHalf>>;
 
-/// Takes in what a follower says, until it leaves.
-async fn hear<P: Platform>(
+/// Handles a follower's messages until it leaves.
+async fn receive<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     stream: &mut OwnedReadHalf,
     writing: &SharedWriter,
@@ -111,7 +109,7 @@
                 );
                 tokio::spawn(answering);
             }
-            // Nothing else comes from a follower.
+            // Followers send no other messages.
             _ => return,
         }
     }
@@ -126,11 +124,11 @@
 ) {
     let answer = sharing::answer(&gateway, &question, received_at).await;
     let answer = frame(&FeedMessage::EvidenceAnswer(answer), &key);
-    // A follower that is gone needs no answer; `tell` finds out.
+    // A follower that is gone needs no answer; `send_updates` ends the stream.
     let _ = send(&gateway, &writing, FeedKind::Evidence, &answer).await;
 }
 
-/// Sends a follower a message, and counts its bytes.
+/// Sends a message to a follower and counts its bytes.
 async fn send<P: Platform>(
     gateway: &Gateway<P>,
     writing: &SharedWriter,
@@ -145,9 +143,9 @@
     Ok(())
 }
 
-/// Tells a follower everything as long as this node reads the store. A reader
-/// that has lost the store says so, with the age of what it knows.
-async fn tell<P: Platform>(
+/// Sends a follower all changes while this node reads the store. Each beat carries the age of
+/// the reader's data, so followers notice a reader that has lost the store.
+async fn send_updates<P: Platform>(
     gateway: &Gateway<P>,
     writing: &SharedWriter,
     mut arrival: watch::Receiver<Option<Arrival>>,
@@ -155,17 +153,17 @@
 ) {
     wait_for_first_answers(gateway).await;
     let mut changes = gateway.beliefs.subscribe_to_lists();
-    let mut told = Told::default();
+    let mut sent = SentState::default();
     let mut is_listed = false;
-    let mut looked_at = Instant::now();
+    let mut shed_checked_at = Instant::now();
     while let Some(age) = gateway.sources.age() {
         if gateway.is_leaving() {
             return;
         }
-        // Once a beat, however much there is to tell meanwhile.
-        if looked_at.elapsed() >= BEAT_INTERVAL {
-            looked_at = Instant::now();
-            if is_one_too_many(gateway) {
+        // Once per beat interval, however many changes are sent meanwhile.
+        if shed_checked_at.elapsed() >= BEAT_INTERVAL {
+            shed_checked_at = Instant::now();
+            if should_shed(gateway) {
                 return;
             }
         }
@@ -178,21 +176,21 @@
             continue;
         }
         changes.mark_unchanged();
-        // Known before what is told: that is as new at the least.
+        // Taken before the updates: the list sent is at least as recent as this moment.
         let list = list_moment(gateway, &arrival);
         let mut frames = if is_listed {
-            news(gateway, &mut told, key)
+            updates(gateway, &mut sent, key)
         } else {
             Vec::new()
         };
-        frames.extend(about_permission(gateway, &arrival, key));
+        frames.extend(permission_notices(gateway, &arrival, key));
         for (kind, frame) in frames {
             if send(gateway, writing, kind, &frame).await.is_err() {
                 return;
             }
         }
-        // It goes last, since it vouches for all that came before it; writing
-        // that may have taken its time.
+        // The beat goes last, since it confirms all messages before it. Its age includes the
+        // time that writing them took.
         let beat = FeedMessage::Beat {
             age: age + as_of.elapsed(),
             list,
@@ -201,13 +199,13 @@
         if send(gateway, writing, FeedKind::Beat, &beat).await.is_err() {
             return;
         }
-        // Time passing is as good a reason to speak as a change.
+        // A beat is due after the interval even without a change.
         let _ = timeout(BEAT_INTERVAL, changes.changed()).await;
-        sleep(GATHER_TIME).await;
+        sleep(CHANGE_BATCH_TIME).await;
     }
 }
 
-/// As of when this node knows the list of instances, as a follower is told.
+/// As of when this node knows the list of instances, relative to the follower's last renewal.
 fn list_moment<P: Platform>(
     gateway: &Gateway<P>,
     arrival: &watch::Receiver<Option<Arrival>>,
@@ -218,38 +216,38 @@
     Some(ListMoment::new(moment, renewal, renewed_at))
 }
 
-/// Waits until a node that has just taken up reading knows what it is to tell.
+/// Waits until a new reader has the store's first answers.
 async fn wait_for_first_answers<P: Platform>(gateway: &Gateway<P>) {
-    let deadline = Instant::now() + FIRST_ANSWERS_TIME;
+    let deadline = Instant::now() + FIRST_ANSWERS_TIMEOUT;
     while gateway.sources.is_reading()
         && gateway.sources.age().is_none()
         && Instant::now() < deadline
     {
-        sleep(GATHER_TIME).await;
+        sleep(CHANGE_BATCH_TIME).await;
     }
 }
 
-/// Waits until a written row lists the follower.
+/// Waits until a written row lists the follower; `false` if none does in time.
 async fn wait_until_listed<P: Platform>(
     gateway: &Gateway<P>,
     arrival: &mut watch::Receiver<Option<Arrival>>,
 ) -> bool {
     let waiting = arrival.wait_for(Option::is_some);
-    // An error: it has left, or does not say who it is.
-    let ticket = timeout(LISTING_TIME, waiting)
+    // An error means that the follower has left or sent no renewal.
+    let ticket = timeout(LISTING_TIMEOUT, waiting)
         .await
         .ok()
         .and_then(|arrived| Some(arrived.ok()?.as_ref()?.ticket));
     let Some(ticket) = ticket else {
         return false;
     };
-    let listing = gateway.followers.wait_until_listed(ticket, LISTING_TIME);
+    let listing = gateway.followers.wait_until_listed(ticket, LISTING_TIMEOUT);
     listing.await
 }
 
-/// What a follower is told when a row that lists it was written, or enough nodes
-/// confirmed, since it was told last.
-fn about_permission<P: Platform>(
+/// Notices to a follower that a row that lists it was written, or that enough nodes confirmed
+/// this node's permission, since the last notice.
+fn permission_notices<P: Platform>(
     gateway: &Gateway<P>,
     arrival: &watch::Receiver<Option<Arrival>>,
     key: &PeerKey,
@@ -277,51 +275,51 @@
         .collect()
 }
 
-/// Whether this follower is to go to another reader, since this one has too many: some at a
-/// time do, each decides for itself.
-fn is_one_too_many<P: Platform>(gateway: &Gateway<P>) -> bool {
+/// Whether to end the stream of a follower because this reader has too many. Each stream
+/// decides at random, so that some followers at a time move to another reader.
+fn should_shed<P: Platform>(gateway: &Gateway<P>) -> bool {
     let share = gateway.fleet.followers_per_reader();
     let probability = shed_probability(gateway.followers.open_streams(), share);
     gateway.fleet.is_settled() && rand::random_bool(probability)
 }
 
-/// What a follower has not been told yet.
-fn news<P: Platform>(
+/// Frames of all changes that a follower was not sent yet.
+fn updates<P: Platform>(
     gateway: &Gateway<P>,
-    told: &mut Told,
+    sent: &mut SentState,
     key: &PeerKey,
 ) -> Vec<(FeedKind, Frame)> {
     let frames = &gateway.feed_frames;
-    let mut news = Vec::new();
-    // None at all is what a follower starts with, unless another reader told it some.
+    let mut updates = Vec::new();
+    // A follower starts with no evacuations unless another reader sent it some.
     let (evacuated, as_of) = gateway.beliefs.evacuations();
-    let has_told = told.revision.is_some();
-    if evacuated != told.evacuated || !has_told && as_of != StorePlace::default() {
+    let has_sent = sent.revision.is_some();
+    if evacuated != sent.evacuated || !has_sent && as_of != StorePlace::default() {
         let frame = frames.evacuations(&evacuated, as_of, key);
-        news.push((FeedKind::Evacuations, frame));
-        told.evacuated = evacuated;
+        updates.push((FeedKind::Evacuations, frame));
+        sent.evacuated = evacuated;
     }
     if let Some(configuration) = gateway.beliefs.configuration()
-        && configuration.version > told.version
+        && configuration.version > sent.version
     {
-        told.version = configuration.version;
+        sent.version = configuration.version;
         let frame = frames.configuration(&configuration, key);
-        news.push((FeedKind::Configuration, frame));
+        updates.push((FeedKind::Configuration, frame));
     }
     let revision = gateway.beliefs.lists_revision();
-    if told.revision != Some(revision) {
-        told.revision = Some(revision);
+    if sent.revision != Some(revision) {
+        sent.revision = Some(revision);
         let (present, frame) =
-            frames.instances(revision, told.instances.as_ref(), &gateway.beliefs, key);
-        told.instances = Some(present);
-        news.extend(frame.map(|frame| (FeedKind::Instances, frame)));
+            frames.instances(revision, sent.instances.as_ref(), &gateway.beliefs, key);
+        sent.instances = Some(present);
+        updates.extend(frame.map(|frame| (FeedKind::Instances, frame)));
     }
-    if told.fleet_at.is_none_or(|at| at.elapsed() > FLEET_INTERVAL)
-        && let Some((present, frame)) = frames.fleet(told.fleet.as_ref(), &gateway.fleet, key)
+    if sent.fleet_at.is_none_or(|at| at.elapsed() > FLEET_INTERVAL)
+        && let Some((present, frame)) = frames.fleet(sent.fleet.as_ref(), &gateway.fleet, key)
     {
-        told.fleet_at = Some(Instant::now());
-        told.fleet = Some(present);
-        news.extend(frame.map(|frame| (FeedKind::Fleet, frame)));
+        sent.fleet_at = Some(Instant::now());
+        sent.fleet = Some(present);
+        updates.extend(frame.map(|frame| (FeedKind::Fleet, frame)));
     }
-    news
+    updates
 }
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -1,5 +1,5 @@
-//! Where this node gets configuration and instances from: from the store, or
-//! from a node that reads it.
+//! Chooses where this node gets configuration and instances from: the store, or a node that
+//! reads the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,21 +18,21 @@
 use crate::registration;
 use crate::state::{FleetSource, ReadReason, ReaderAddresses};
 
-/// How often a node that reads the store looks whether it still should.
+/// How often a reader checks whether it is still chosen as one.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause before another reader is tried.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
-/// For how long a node reads the store itself before it tries readers again.
+/// How long a node that found no reader reads the store itself before it tries readers again.
 const STANDALONE_READ_TIME: Duration = Duration::from_millis(5_000);
-/// Readers of the own region that are tried in a first round, and of others.
+/// Number of readers tried in a first round: of this node's region, and of other regions.
 const FIRST_ROUND: [usize; 2] = [3, 2];
-/// First pause of a node that starts after the store gave no answer; it doubles.
+/// First pause of a starting node after the store gave no answer; doubles each time.
 const MIN_START_PAUSE: Duration = Duration::from_millis(100);
-/// Longest of these pauses. All nodes may be starting.
+/// Longest of these pauses. All nodes may be starting at once.
 const MAX_START_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Chooses the source as the fleet changes and readers are lost. Runs until the
-/// process ends.
+/// Chooses the source as the fleet changes and readers are lost. Runs until the process
+/// ends.
 pub(crate) async fn choose_source<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut follower = Follower::new();
     loop {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Finds out who reads the store, and takes it up if nobody does.
+/// Finds the fleet's readers, and becomes one if there is none.
 async fn discover_readers<P: Platform>(gateway: &Gateway<P>) {
     let starts_with_all = gateway.settings.is_first_start && gateway.fleet.size() == 0;
     if !starts_with_all {
@@ -81,10 +81,10 @@
     Event::info("look_failed").field("error", error).log();
 }
 
-/// Reads the store as one of the fleet's readers, for as long as the node is one.
+/// Reads the store as one of the fleet's readers, until the next role check.
 async fn serve_as_reader<P: Platform>(gateway: &Gateway<P>) {
     gateway.fleet.start_reading(fleet::own_node(gateway));
-    // Whoever replaces a primary asks those who are listed.
+    // A node that replaces a primary asks the listed nodes, so this node registers first.
     if !gateway.sources.is_reading()
         && let Err(error) = registration::register(gateway).await
     {
@@ -96,14 +96,14 @@
     sleep(ROLE_CHECK_INTERVAL).await;
 }
 
-/// A node that follows readers, or looks for one.
+/// State of a node that follows a reader or searches for one.
 ///
-/// What a reader told last stays good for as long as it is trusted, so a node
-/// that changes to another reader within that time does not ask the store.
+/// The data of the last reader stays valid for as long as it is trusted, so a node that
+/// changes to another reader within that time does not ask the store.
 struct Follower {
     search: Search,
     trusted_until: Instant,
-    /// Readers that are tried in turn.
+    /// Readers in the order in which they are tried.
     order: Vec<SocketAddr>,
 }
 
@@ -145,7 +145,7 @@
     async fn follow<P: Platform>(&mut self, gateway: &Arc<Gateway<P>>, stale_limit: StaleLimit) {
         let next = self.search.failed_readers() % self.order.len().max(1);
         let (Some(reader), Some(key)) = (self.order.get(next).copied(), gateway.fleet.key()) else {
-            // The fleet has changed since it was looked at.
+            // The view of the fleet has changed since the order was made.
             sleep(RECONNECT_PAUSE).await;
             return;
         };
@@ -188,8 +188,8 @@
     }
 }
 
-/// Readers in the order in which they are tried: some near ones, some far ones,
-/// then the others.
+/// Readers in the order in which they are tried: some of this node's region, some of other
+/// regions, then the rest.
 fn retry_order(readers: &ReaderAddresses) -> Vec<SocketAddr> {
     let [near, far] = FIRST_ROUND;
     let (mut first, mut rest) = shuffled(&readers.near, near);
--- a/crates/linkhold-gateway/src/state/sources.rs
+++ b/crates/linkhold-gateway/src/state/sources.rs
@@ -1,4 +1,4 @@
-//! Where a node gets configuration and instances from at present.
+//! The present source of this node's configuration and instances.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -9,14 +9,14 @@
 
 use crate::beliefs::lock;
 
-/// What the node does about the store.
+/// How the node uses the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    /// Nothing: it starts.
+    /// It is starting and uses no source yet.
     Starting,
     /// It reads the store itself.
     Reading,
-    /// It follows a reader, or looks for one.
+    /// It follows a reader, or searches for one.
     Following,
 }
 
@@ -26,12 +26,12 @@
     instances: Option<Instant>,
 }
 
-/// The node's present source, and how fresh the store's answers are.
+/// The node's present source and the times of the store's last answers.
 #[derive(Debug)]
 pub(crate) struct Sources {
     mode: watch::Sender<Mode>,
     answers: Mutex<LastAnswers>,
-    /// Rises with each answer about the configuration.
+    /// Counts answers to requests for the configuration.
     answered: watch::Sender<u64>,
 }
 
@@ -46,23 +46,23 @@
 }
 
 impl Sources {
-    /// Whether a reader is followed or looked for.
+    /// Whether the node follows a reader or searches for one.
     pub fn is_following(&self) -> bool {
         *self.mode.borrow() == Mode::Following
     }
 
-    /// Whether the store is read.
+    /// Whether the node reads the store itself.
     pub fn is_reading(&self) -> bool {
         *self.mode.borrow() == Mode::Reading
     }
 
-    /// Waits until the store is read; `true` if it had to wait, so that all is to
-    /// be read anew.
+    /// Waits until the node reads the store. Returns `true` if it had to wait: everything
+    /// must then be read anew.
     pub async fn wait_until_reading(&self) -> bool {
         if self.is_reading() {
             return false;
         }
-        // The sender lives as long as this.
+        // The sender lives as long as `self`, so this cannot fail.
         let _ = self
             .mode
             .subscribe()
@@ -71,27 +71,28 @@
         true
     }
 
-    /// The store answered a question about the configuration.
+    /// Records that the store answered a request for the configuration.
     pub fn record_configuration_answer(&self) {
         lock(&self.answers).configuration = Some(Instant::now());
         self.answered.send_modify(|count| *count += 1);
     }
 
-    /// The store answered a question about instances.
+    /// Records that the store answered a request for instances.
     pub fn record_instances_answer(&self) {
         lock(&self.answers).instances = Some(Instant::now());
     }
 
-    /// Waits until the store answers the next question about the configuration,
-    /// but no longer than `limit`.
+    /// Waits until the store answers the next request for the configuration, at most
+    /// `limit`.
     pub async fn wait_for_store(&self, limit: Duration) {
         let mut answered = self.answered.subscribe();
         answered.mark_unchanged();
-        // Time passing is as good a reason to go on.
+        // The caller goes on after the limit too.
         let _ = timeout(limit, answered.changed()).await;
     }
 
-    /// Age of the older of both last answers, for a node that reads the store.
+    /// Age of the older of the last answers about configuration and instances; `None` unless
+    /// the node reads the store and has both.
     pub fn age(&self) -> Option<Duration> {
         if !self.is_reading() {
             return None;
@@ -101,12 +102,12 @@
         Some(older.elapsed())
     }
 
-    /// A reader is followed and trusted from now on.
+    /// Switches the source to a reader that is trusted.
     pub fn start_following(&self) {
         self.mode.send_replace(Mode::Following);
     }
 
-    /// The store is read from now on.
+    /// Switches the source to the store.
     pub fn start_reading(&self, reason: ReadReason) {
         if self.mode.send_replace(Mode::Reading) != Mode::Reading {
             Event::info("store_read")
@@ -121,7 +122,7 @@
 pub(crate) enum ReadReason {
     /// It is one of the fleet's readers, or every node reads.
     Chosen,
-    /// It finds no reader that has an answer from the store, and the store
-    /// answers it.
+    /// It finds no reader that has an answer from the store, while the store answers this
+    /// node.
     NoReaderTrusted,
 }
