--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! # Invariant
 //!
-//! No promotion rests on a sample of the fleet. A look ([`QuestionPurpose::Look`])
-//! may ask some nodes; whoever replaces a primary asks everyone
-//! ([`Audience::all_nodes`]), as listed in the store at that moment. In a large fleet the
-//! watchers of the service alone try the instance when they are asked; the others tell
-//! what they know of it, and agree if that is nothing.
+//! No promotion rests on a sample of the fleet. A probe ([`QuestionPurpose::Look`])
+//! may ask some nodes; a node that replaces a primary asks all nodes
+//! ([`Audience::all_nodes`]), as listed in the store at that moment. In a large fleet only
+//! the watchers of the service try the instance when asked; the other nodes answer from
+//! what they know of it, and agree if they know nothing.
 
 mod questions;
 
@@ -35,15 +35,14 @@
 
 pub(crate) use questions::{Audience, ask, release, send};
 
-/// How long what a watcher found is told to others who ask: as long as it takes to find it
-/// out between regions, with a new connection.
-const PROBE_LIFE: Duration = Duration::from_millis(300);
+/// How long a watcher answers from its last probe: as long as a probe between regions takes
+/// with a new connection.
+const PROBE_RESULT_LIFETIME: Duration = Duration::from_millis(300);
 /// Pause before the socket is bound again after a failure.
 const BIND_PAUSE: Duration = Duration::from_millis(500);
 
-/// Binds the socket for datagrams and, where the number is free to choose, a
-/// listener for streams under the same number: another process may hold it for
-/// streams.
+/// Binds the socket for datagrams. If any port may be chosen, also binds a listener for
+/// streams on the same port first, because another process may hold that port for streams.
 async fn bind(address: SocketAddr) -> io::Result<(UdpSocket, Option<TcpListener>)> {
     if address.port() != 0 {
         return Ok((UdpSocket::bind(address).await?, None));
@@ -53,8 +52,8 @@
     Ok((socket, Some(listener)))
 }
 
-/// Answers other nodes' questions and passes on their answers. Runs until the
-/// process ends.
+/// Answers other nodes' questions and delivers their answers to this node's own. Runs until
+/// the process ends.
 pub(crate) async fn answer_questions<P: Platform>(gateway: Arc<Gateway<P>>) {
     let Some(address) = gateway.settings.peer_address else {
         return;
@@ -63,7 +62,7 @@
         match bind(address).await {
             Ok((socket, listener)) => {
                 let socket = Arc::new(socket);
-                gateway.peers.bound(socket.clone(), listener);
+                gateway.peers.set_socket(socket.clone(), listener);
                 receive(&gateway, &socket).await;
             }
             Err(error) => Event::warn("peer_socket_failed")
@@ -85,20 +84,20 @@
         };
         match decode_datagram(&buffer[..length], &key) {
             Ok(Datagram::Budget(message)) => {
-                take_budget_message(gateway, socket, from, message, &key).await;
+                handle_budget_message(gateway, socket, from, message, &key).await;
             }
             Ok(Datagram::Reachability(ReachabilityMessage::Question {
                 number,
                 subject,
                 purpose,
             })) => {
-                let asker = Questioner {
+                let questioner = Questioner {
                     socket: socket.clone(),
                     key,
                     address: from,
                     number,
                 };
-                tokio::spawn(answer(gateway.clone(), asker, subject, purpose));
+                tokio::spawn(answer(gateway.clone(), questioner, subject, purpose));
             }
             Ok(Datagram::Reachability(ReachabilityMessage::Answer {
                 number,
@@ -137,8 +136,8 @@
     }
 }
 
-/// Answers a question for a budget, or takes in what another node says of one.
-async fn take_budget_message<P: Platform>(
+/// Answers a question for a budget, or handles another node's message about one.
+async fn handle_budget_message<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     socket: &UdpSocket,
     from: SocketAddr,
@@ -208,7 +207,7 @@
     }
 }
 
-/// Who asked a question, and where the answer goes.
+/// The node that asked a question, and where the answer goes.
 struct Questioner {
     socket: Arc<UdpSocket>,
     key: PeerKey,
@@ -218,7 +217,7 @@
 
 async fn answer<P: Platform>(
     gateway: Arc<Gateway<P>>,
-    asker: Questioner,
+    questioner: Questioner,
     subject: QuestionSubject,
     purpose: QuestionPurpose,
 ) {
@@ -228,45 +227,53 @@
     };
     let found = match &instance {
         Some(instance)
-            if purpose == QuestionPurpose::Look || believes_in(&gateway, instance, &subject) =>
+            if purpose == QuestionPurpose::Look || may_answer_for(&gateway, instance, &subject) =>
         {
-            find(&gateway, instance, purpose).await
+            check_reachability(&gateway, instance, purpose).await
         }
-        // What it does not know, it does not use.
+        // This node does not use an instance that it does not know.
         Some(_) | None => Reachability::Unreached,
     };
     if found != Reachability::Reached && purpose == QuestionPurpose::Replace {
-        gateway.beliefs.permission.agree(&subject, asker.number);
+        gateway
+            .beliefs
+            .permission
+            .agree(&subject, questioner.number);
     }
     if found == Reachability::Unreached && purpose == QuestionPurpose::Replace {
         match (&instance, &subject) {
-            (Some(instance), _) => gateway.beliefs.withhold(&instance.id, asker.number),
+            (Some(instance), _) => gateway.beliefs.withhold(&instance.id, questioner.number),
             (None, QuestionSubject::Instance(id)) => {
-                gateway.beliefs.withhold(&instance_id(id), asker.number);
+                gateway
+                    .beliefs
+                    .withhold(&instance_id(id), questioner.number);
             }
             (None, QuestionSubject::PrimaryOf(_)) => {}
         }
     }
-    let is_leader =
+    let reaches_primary =
         found == Reachability::Reached && matches!(subject, QuestionSubject::PrimaryOf(_));
-    let is_proved = |it: &Arc<Instance>| believes_in(&gateway, it, &subject);
-    let leader = instance.filter(|it| is_leader && is_proved(it));
+    let is_proved = |it: &Arc<Instance>| may_answer_for(&gateway, it, &subject);
+    let leader = instance.filter(|it| reaches_primary && is_proved(it));
     let leader = leader.map(|it| it.id.to_string());
     let message = ReachabilityMessage::Answer {
-        number: asker.number,
+        number: questioner.number,
         found,
         leader,
     };
     // A lost answer counts as none.
-    let _ = asker
+    let _ = questioner
         .socket
-        .send_to(&encode_reachability(&message, &asker.key), asker.address)
+        .send_to(
+            &encode_reachability(&message, &questioner.key),
+            questioner.address,
+        )
         .await;
 }
 
-/// Whether this node's word on an instance counts: of a service's primary, what is believed
-/// for its entry alone tells nothing.
-fn believes_in<P: Platform>(
+/// Whether this node may answer for an instance. An instance that is the known primary by its
+/// entry alone proves nothing about a service's primary.
+fn may_answer_for<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     subject: &QuestionSubject,
@@ -279,7 +286,7 @@
     InstanceId(id.into())
 }
 
-async fn find<P: Platform>(
+async fn check_reachability<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Arc<Instance>,
     purpose: QuestionPurpose,
@@ -290,12 +297,12 @@
     if watchers.as_ref().is_some_and(|it| !it.includes_self) {
         return known_reachability(gateway, instance);
     }
-    if purpose == QuestionPurpose::Replace && has_failed_lately(gateway, instance) {
+    if purpose == QuestionPurpose::Replace && has_failed_recently(gateway, instance) {
         return Reachability::Unreached;
     }
     let found = match watchers {
         Some(_) => probe(gateway, instance).await,
-        None => try_to_reach(gateway, instance).await,
+        None => attempt_to_reach(gateway, instance).await,
     };
     if found == Reachability::Unreached {
         gateway.attention.suspect(&instance.service);
@@ -303,40 +310,43 @@
     found
 }
 
-/// What a node that does not watch an instance knows of it. 327 nodes that each connected
-/// to one primary when they were asked, where it takes 140 connections, took it for lost
-/// and asked in turn: 72,022 connections were reset within a minute.
+/// Reachability of an instance as known to a node that does not watch it, without connecting.
+/// When 327 nodes each connected to one primary that takes 140 connections, they considered
+/// it lost and asked in turn: 72,022 connections were reset within a minute.
 fn known_reachability<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> Reachability {
-    let lately = Instant::now().checked_sub(PROBE_LIFE);
-    match lately {
+    let earliest = Instant::now().checked_sub(PROBE_RESULT_LIFETIME);
+    match earliest {
         Some(moment) if gateway.answered_since(instance, moment) => Reachability::Reached,
         Some(_) | None => Reachability::Unreached,
     }
 }
 
-/// Tries an instance that this node watches: once for all who ask at about the same time.
+/// Probes an instance that this node watches, once for all questions at about the same time.
 async fn probe<P: Platform>(gateway: &Gateway<P>, instance: &Arc<Instance>) -> Reachability {
     let probe = gateway.peers.probe(&instance.id);
     let mut last = probe.lock().await;
     if let Some((at, found)) = *last
-        && at.elapsed() < PROBE_LIFE
+        && at.elapsed() < PROBE_RESULT_LIFETIME
     {
         return found;
     }
-    let found = try_to_reach(gateway, instance).await;
+    let found = attempt_to_reach(gateway, instance).await;
     *last = Some((Instant::now(), found));
     found
 }
 
-async fn try_to_reach<P: Platform>(gateway: &Gateway<P>, instance: &Arc<Instance>) -> Reachability {
+async fn attempt_to_reach<P: Platform>(
+    gateway: &Gateway<P>,
+    instance: &Arc<Instance>,
+) -> Reachability {
     let found = survey::reach_primary(gateway, instance).await;
-    gateway.peers.tried(&instance.id, found);
+    gateway.peers.record_attempt(&instance.id, found);
     found
 }
 
-/// Whether this node failed to reach an instance a moment ago and has heard
-/// nothing of it since.
-fn has_failed_lately<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
+/// Whether this node recently failed to reach an instance and has had no answer from it
+/// since.
+fn has_failed_recently<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> bool {
     let failed_at = gateway.peers.failed_at(&instance.id);
     failed_at.is_some_and(|failed_at| {
         failed_at.elapsed() < RECENT_FAILURE && !gateway.answered_since(instance, failed_at)
--- a/crates/linkhold-gateway/src/peers/questions.rs
+++ b/crates/linkhold-gateway/src/peers/questions.rs
@@ -1,4 +1,4 @@
-//! Asks other nodes, and adds up what they answer.
+//! Asks other nodes about primaries, and tallies their answers.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -21,24 +21,24 @@
 use crate::registration;
 use crate::state::PeerAnswer;
 
-/// How long answers are waited for: a peer tries the instance itself.
+/// How long to wait for answers: a peer tries the instance itself.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(620);
-/// Datagrams may be lost: a question is asked once more after this.
+/// Datagrams may be lost: unanswered peers are asked a second time after this.
 const REPEAT_AFTER: Duration = Duration::from_millis(120);
 
-/// Whom a question goes to.
+/// The nodes that a question is sent to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Audience {
     /// Nodes whose silence counts.
     nodes: Vec<SocketAddr>,
-    /// Nodes that have left the fleet's list lately without a word: what they
-    /// say counts, their silence does not.
+    /// Nodes whose entries expired recently without a leave notice: their answers count, their
+    /// silence does not.
     former: Vec<SocketAddr>,
 }
 
 impl Audience {
-    /// For a look: all others of a small fleet, the watchers of the service in a larger
-    /// one.
+    /// The audience of a probe: all other nodes of a small fleet, the other watchers of the
+    /// service in a larger one.
     pub fn for_probe<P: Platform>(gateway: &Gateway<P>, service: &ServiceName) -> Self {
         let node = &gateway.settings.node;
         let nodes = match gateway.watchers.of(node, service) {
@@ -51,16 +51,16 @@
         }
     }
 
-    /// Some of them.
-    pub fn sample(mut self, most: usize) -> Self {
+    /// Reduces the audience to at most `max_nodes` random nodes.
+    pub fn sample(mut self, max_nodes: usize) -> Self {
         self.nodes.shuffle(&mut rand::rng());
-        self.nodes.truncate(most);
+        self.nodes.truncate(max_nodes);
         self
     }
 
-    /// Everyone: as the store lists them now or, if it gives no answer and the
-    /// authority itself refuses old tokens, as this node knows them. An error tells why not
-    /// all of them are known.
+    /// All nodes as the store lists them now. If the store does not answer and the authority
+    /// itself refuses old tokens, all nodes as this node knows them. The error is the reason
+    /// why not all nodes are known, for the log.
     pub async fn all_nodes<P: Platform>(gateway: &Gateway<P>) -> Result<Self, &'static str> {
         match registration::list_nodes(gateway).await {
             Ok(listed) => {
@@ -69,7 +69,7 @@
                     former: listed.former,
                 });
             }
-            // The store does not list all nodes, and this one may not know them either.
+            // A restored store may lack nodes, and this node may not know them either.
             Err(StoreError::OtherEra) => return Err("store_was_restored"),
             Err(_) => {}
         }
@@ -83,25 +83,25 @@
     }
 }
 
-/// What other nodes answered.
+/// Tally of other nodes' answers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerFindings {
-    /// How many of the nodes whose silence counts found what; of the others, those
-    /// that reach it.
+    /// Findings of the nodes whose silence counts, and of former nodes that reach the
+    /// instance.
     pub tally: ReachabilityTally,
     /// Nodes that reach the instance as a primary, in the order of their answers.
     pub reached_by: Vec<SocketAddr>,
-    /// Former nodes that agreed, as those that do not reach it.
+    /// Number of former nodes that agreed because they do not reach it.
     pub agreed_former: usize,
-    /// Former nodes that did not answer.
+    /// Number of former nodes that did not answer.
     pub silent_former: usize,
     /// Instances that nodes reach as the primary of the service they were asked about.
     pub primaries: Vec<InstanceId>,
 }
 
 impl PeerFindings {
-    /// Whether enough of all who were asked agreed, the one that asks included, so that
-    /// nobody goes on by confirmations alone.
+    /// Whether enough of the asked nodes agreed, this one included, so that no node keeps its
+    /// permission by confirmations alone.
     pub fn have_enough_agreed(&self) -> bool {
         let tally = self.tally;
         let agreed = 1 + tally.unreached + tally.not_primary + self.agreed_former;
@@ -109,14 +109,14 @@
         agreed >= agreements_needed(asked)
     }
 
-    fn take(&mut self, answer: PeerAnswer, is_former: bool) {
+    fn add(&mut self, answer: PeerAnswer, is_former: bool) {
         match answer.found {
             Reachability::Reached => {
                 self.tally.reached += 1;
                 self.reached_by.push(answer.from);
                 self.primaries.extend(answer.primary);
             }
-            // It stands for nobody who is waited for.
+            // A former node is not among the nodes whose silence counts.
             Reachability::Unreached | Reachability::NotPrimary if is_former => {
                 self.agreed_former += 1;
             }
@@ -126,8 +126,8 @@
     }
 }
 
-/// Tells everyone who was asked to agree that nothing is ordered; a lost word costs the
-/// time for which they agreed.
+/// Notifies all nodes that were asked to agree that no promotion is ordered. If a message is
+/// lost, its receiver withholds for the whole time for which it agreed.
 pub(crate) async fn release<P: Platform>(gateway: &Gateway<P>, number: u64, audience: &Audience) {
     gateway.beliefs.release(number);
     let (Some(key), Some(socket)) = (gateway.fleet.key(), gateway.peers.socket()) else {
@@ -143,8 +143,8 @@
     send(&socket, &nodes, &datagram).await;
 }
 
-/// Asks other nodes whether they reach an instance, or whichever they believe in,
-/// as a primary. Nothing is counted while the fleet is not known.
+/// Asks other nodes whether they reach an instance, or their known primary of a service, as
+/// the primary. The result is empty while the fleet is not known.
 pub(crate) async fn ask<P: Platform>(
     gateway: &Gateway<P>,
     number: u64,
@@ -171,7 +171,8 @@
     findings
 }
 
-/// Takes in answers until all have come or the time is over; returns who gave none.
+/// Collects answers until all nodes have answered or [`ANSWER_TIMEOUT`] is over. Returns the
+/// nodes that did not answer.
 async fn collect(
     socket: &UdpSocket,
     audience: &Audience,
@@ -193,7 +194,7 @@
                     continue;
                 }
                 let is_former = audience.former.contains(&answer.from);
-                findings.take(answer, is_former);
+                findings.add(answer, is_former);
             }
             Ok(None) => break,
             Err(_) if repeated => break,
@@ -206,14 +207,14 @@
     pending
 }
 
-/// Sends a datagram to each of some nodes.
+/// Sends a datagram to each of the nodes.
 pub(crate) async fn send<'a>(
     socket: &UdpSocket,
     peers: impl IntoIterator<Item = &'a SocketAddr>,
     datagram: &[u8],
 ) {
     for peer in peers {
-        // A peer that cannot be reached does not answer.
+        // A peer that cannot be reached counts as silent.
         let _ = socket.send_to(datagram, peer).await;
     }
 }
--- a/crates/linkhold-gateway/src/state/awaited.rs
+++ b/crates/linkhold-gateway/src/state/awaited.rs
@@ -1,4 +1,4 @@
-//! Questions that wait for answers of several nodes, by number.
+//! Pending questions to several nodes, by number.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -7,7 +7,7 @@
 
 use crate::beliefs::lock;
 
-/// Questions that wait for answers, by number.
+/// Pending questions by number, each with the channel for its answers.
 #[derive(Debug)]
 pub(crate) struct AwaitedAnswers<T>(Mutex<HashMap<u64, mpsc::UnboundedSender<T>>>);
 
@@ -18,22 +18,22 @@
 }
 
 impl<T> AwaitedAnswers<T> {
-    /// A question with a number is asked; its answers come out of the receiver.
+    /// Registers a question. Its answers come out of the receiver.
     pub fn register(&self, number: u64) -> mpsc::UnboundedReceiver<T> {
         let (sender, receiver) = mpsc::unbounded_channel();
         lock(&self.0).insert(number, sender);
         receiver
     }
 
-    /// A node answered the question with a number.
+    /// Delivers a node's answer to the question with a number, if it is still pending.
     pub fn deliver(&self, number: u64, answer: T) {
         if let Some(sender) = lock(&self.0).get(&number) {
-            // Whoever asked may have stopped waiting.
+            // The asking task may have stopped waiting.
             let _ = sender.send(answer);
         }
     }
 
-    /// Nobody waits for answers to a question any more.
+    /// Closes a question: later answers are dropped.
     pub fn close(&self, number: u64) {
         lock(&self.0).remove(&number);
     }
--- a/crates/linkhold-gateway/src/state/mod.rs
+++ b/crates/linkhold-gateway/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! What a node holds for the tasks and requests that share it.
+//! State of a node that its tasks and requests share.
 //!
-//! Nothing here uses [`crate::Gateway`], which owns one of each: what acts on them
-//! (asks, tells, decides) stands in modules that do.
+//! Nothing here uses [`crate::Gateway`], which owns one of each type. Code that acts on
+//! the state (sends messages, makes decisions) is in the modules that use the gateway.
 
 mod awaited;
 mod evidence_questions;
--- a/crates/linkhold-gateway/src/state/own_row.rs
+++ b/crates/linkhold-gateway/src/state/own_row.rs
@@ -8,39 +8,39 @@
 
 use crate::beliefs::lock;
 
-/// What this node knows of its own row.
+/// Known state of this node's own row.
 #[derive(Debug, Default)]
 pub(crate) struct OwnRow {
-    /// Its version as it was read last, unless it was written since.
+    /// Version of the row as last read or written; `None` once a write has used it.
     version: Mutex<Option<StorePlace>>,
-    /// This process has written it.
+    /// Whether this process has written the row.
     was_written: AtomicBool,
-    /// One write is under way at a time.
+    /// Serializes writes of the row.
     writing: tokio::sync::Mutex<()>,
 }
 
 impl OwnRow {
-    /// Waits for its turn to write the row, which lasts until this is dropped.
+    /// Waits for the exclusive right to write the row, held until the guard is dropped.
     pub async fn lock_for_write(&self) -> MutexGuard<'_, ()> {
         self.writing.lock().await
     }
 
-    /// The row was read with this version; the default if it is not there.
+    /// Sets the version of the row; the default if there is no row.
     pub fn set_version(&self, version: StorePlace) {
         *lock(&self.version) = Some(version);
     }
 
-    /// This process has written it.
+    /// Records that this process has written the row.
     pub fn mark_written(&self) {
         self.was_written.store(true, Ordering::Relaxed);
     }
 
-    /// Whether this process has written it before.
+    /// Whether this process has written the row before.
     pub fn was_written(&self) -> bool {
         self.was_written.load(Ordering::Relaxed)
     }
 
-    /// Its version, which is not known any more once it is used.
+    /// Takes the version for a write; it is unknown afterwards.
     pub fn take_version(&self) -> Option<StorePlace> {
         lock(&self.version).take()
     }
--- a/crates/linkhold-gateway/src/state/peers.rs
+++ b/crates/linkhold-gateway/src/state/peers.rs
@@ -1,4 +1,4 @@
-//! Questions between nodes that wait for answers, and what was found out for others.
+//! Pending questions between nodes, and results of attempts to reach instances for others.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use super::AwaitedAnswers;
 use crate::beliefs::lock;
 
-/// What a node answered.
+/// A node's answer to a question about an instance or a primary.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerAnswer {
-    /// Who answered.
+    /// The node that answered.
     pub from: SocketAddr,
-    /// How it reaches the instance.
+    /// Whether it reaches the instance.
     pub found: Reachability,
     /// The instance that it reaches as the primary, if it was asked about a service.
     pub primary: Option<InstanceId>,
@@ -26,46 +26,46 @@
 /// A node's answer to a question for a confirmation.
 #[derive(Clone, Debug)]
 pub(crate) struct Confirmation {
-    /// Who answered.
+    /// The node that answered.
     pub from: SocketAddr,
-    /// What it has agreed to, or `None` from one that may not tell.
+    /// The replacements it agreed to; `None` from a node that holds no permission.
     pub agreed: Option<Vec<String>>,
 }
 
-/// What was found when an instance was tried last, and when. Held while it is tried.
+/// Time and result of the last probe of an instance. Locked during a probe.
 pub(crate) type Probe = Arc<tokio::sync::Mutex<Option<(Instant, Reachability)>>>;
 
-/// The node's side of questions and answers.
+/// Socket, pending questions and probe results of this node.
 #[derive(Default)]
 pub(crate) struct Peers {
     socket: Mutex<Option<Arc<UdpSocket>>>,
-    /// Takes streams under the same number, until [`Peers::take_listener`].
+    /// Accepts streams on the same port, until [`Peers::take_listener`].
     listener: Mutex<Option<TcpListener>>,
-    /// Questions about the reachability of primaries.
+    /// Pending questions about the reachability of primaries.
     pub questions: AwaitedAnswers<PeerAnswer>,
-    /// Questions for confirmations.
+    /// Pending questions for confirmations.
     pub confirmations: AwaitedAnswers<Confirmation>,
     /// When this node last failed to reach an instance it was asked about.
     failures: Mutex<HashMap<InstanceId, Instant>>,
-    /// Tries of instances that this node watches.
+    /// Probes of instances that this node watches.
     probes: Mutex<HashMap<InstanceId, Probe>>,
 }
 
 impl Peers {
-    /// The socket is bound, and the listener with it if there is one.
-    pub fn bound(&self, socket: Arc<UdpSocket>, listener: Option<TcpListener>) {
-        // Before others learn the address.
+    /// Sets the bound socket, and the listener if one was bound with it.
+    pub fn set_socket(&self, socket: Arc<UdpSocket>, listener: Option<TcpListener>) {
+        // The listener is set before other nodes learn the address.
         *lock(&self.listener) = listener;
         *lock(&self.socket) = Some(socket);
     }
 
-    /// What was found when an instance was tried last; held by whoever tries it.
+    /// The last probe of an instance; the task that probes it holds the lock.
     pub fn probe(&self, id: &InstanceId) -> Probe {
         lock(&self.probes).entry(id.clone()).or_default().clone()
     }
 
-    /// This node has tried to reach an instance.
-    pub fn tried(&self, id: &InstanceId, found: Reachability) {
+    /// Records the result of an attempt to reach an instance.
+    pub fn record_attempt(&self, id: &InstanceId, found: Reachability) {
         let mut failures = lock(&self.failures);
         if found == Reachability::Unreached {
             failures.insert(id.clone(), Instant::now());
@@ -74,12 +74,12 @@
         }
     }
 
-    /// When this node failed to reach an instance, if its last try did.
+    /// When this node failed to reach an instance; `None` if its last attempt succeeded.
     pub fn failed_at(&self, id: &InstanceId) -> Option<Instant> {
         lock(&self.failures).get(id).copied()
     }
 
-    /// Sends a datagram to a node. A lost one counts as not sent.
+    /// Sends a datagram to a node. Failures are ignored: a datagram may be lost anyway.
     pub async fn send(&self, to: SocketAddr, datagram: &[u8]) {
         if let Some(socket) = self.socket() {
             let _ = socket.send_to(datagram, to).await;
@@ -91,7 +91,7 @@
         lock(&self.socket).clone()
     }
 
-    /// Where other nodes reach this one; `None` until it listens.
+    /// Address at which other nodes reach this one; `None` until the socket is bound.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket()?.local_addr().ok()
     }
--- a/crates/linkhold-gateway/src/state/reader_link.rs
+++ b/crates/linkhold-gateway/src/state/reader_link.rs
@@ -1,4 +1,4 @@
-//! A follower's way to its reader.
+//! A follower's link to its reader.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,7 +8,7 @@
 
 use crate::beliefs::lock;
 
-/// A follower's side: the way to its reader, and the questions under way.
+/// A follower's outbox to its reader, and its pending questions.
 #[derive(Default)]
 pub(crate) struct ReaderLink {
     outbox: Mutex<Option<mpsc::UnboundedSender<FeedMessage>>>,
@@ -16,36 +16,36 @@
 }
 
 impl ReaderLink {
-    /// A reader is followed; what it is to be told comes out of the receiver.
+    /// Opens the link to a reader. Messages for the reader come out of the receiver.
     pub fn open(&self) -> mpsc::UnboundedReceiver<FeedMessage> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *lock(&self.outbox) = Some(sender);
         receiver
     }
 
-    /// The reader is lost.
+    /// Closes the link and drops the pending questions.
     pub fn close(&self) {
         *lock(&self.outbox) = None;
         lock(&self.waiting).clear();
     }
 
-    /// The reader has answered.
+    /// Delivers the reader's answer to the pending question.
     pub fn deliver(&self, answer: EvidenceAnswer) {
         if let Some(waiting) = lock(&self.waiting).remove(&answer.number) {
-            // Whoever asked may have stopped waiting.
+            // The asking task may have stopped waiting.
             let _ = waiting.send(answer);
         }
     }
 
-    /// Tells the reader something, if one is followed.
+    /// Sends a message to the reader, if one is followed.
     pub fn send(&self, message: FeedMessage) {
         if let Some(outbox) = &*lock(&self.outbox) {
-            // A reader that is lost need not be told.
+            // A message to a lost reader may be dropped.
             let _ = outbox.send(message);
         }
     }
 
-    /// Asks the reader; `None` if none is followed.
+    /// Asks the reader a question; `None` if no reader is followed.
     pub fn ask(&self, question: EvidenceQuestion) -> Option<oneshot::Receiver<EvidenceAnswer>> {
         let outbox = lock(&self.outbox).clone()?;
         let (sender, receiver) = oneshot::channel();
@@ -54,7 +54,7 @@
         Some(receiver)
     }
 
-    /// Nobody waits for the answer to a question any more.
+    /// Drops a pending question.
     pub fn cancel(&self, number: u64) {
         lock(&self.waiting).remove(&number);
     }
