--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -27,8 +27,8 @@
 use tokio::sync::{Notify, watch};
 
 use crate::permission::OwnPermission;
-use crate::places::Places;
 use crate::settings::GatewaySettings;
+use crate::zone_map::ZoneMap;
 
 /// Part of the drain time in which a leaving instance may get new work, in
 /// percent.
@@ -58,7 +58,7 @@
 /// State of the cluster as this node knows it.
 #[derive(Debug)]
 pub struct ClusterState {
-    places: Places,
+    zone_map: ZoneMap,
     drain: Duration,
     /// Time after which nothing may be sent to an evacuated zone any more.
     evacuation_bound: Duration,
@@ -89,7 +89,7 @@
     /// Creates a state in which nothing is known.
     pub fn new(settings: &GatewaySettings) -> Self {
         Self {
-            places: settings.places.clone(),
+            zone_map: settings.zone_map.clone(),
             drain: settings.drain,
             evacuation_bound: settings.evacuation_bound,
             first_started_at: settings.is_first_start.then(Instant::now),
@@ -419,7 +419,7 @@
     }
 
     fn distance(&self, instance: &Instance) -> Distance {
-        self.places.distance(&instance.zone)
+        self.zone_map.distance(&instance.zone)
     }
 
     /// Updates the health of an instance.
--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -26,7 +26,7 @@
     /// Logs each region that a route or tenant is bound to and in which no configured
     /// zone lies.
     fn log_unknown_regions(&self, configuration: &Configuration) {
-        let known: HashSet<&RegionName> = self.places.regions.values().collect();
+        let known: HashSet<&RegionName> = self.zone_map.regions.values().collect();
         let routes = configuration.routes.iter();
         let of_routes = routes.map(|(database, route)| ("route", database, &route.regions));
         let tenants = configuration.tenancy.iter().flat_map(|it| it.tenants());
@@ -91,7 +91,7 @@
         };
         event
             .field("zone", zone)
-            .field("is_known", self.places.regions.contains_key(zone))
+            .field("is_known", self.zone_map.regions.contains_key(zone))
             .field("instances", self.instances_in(zone))
             .field("as_of", as_of)
             .log();
@@ -167,7 +167,7 @@
         let zone = instances.evacuations.state(&instance.zone, Instant::now());
         let standing = EligibilityFacts {
             is_in_regions: !regions.is_restricted()
-                || regions.permits(&self.places.region(&instance.zone)),
+                || regions.permits(&self.zone_map.region(&instance.zone)),
             zone,
         };
         eligibility::check(standing, engagement)
--- a/crates/linkhold-gateway/src/cluster_state/primaries.rs
+++ b/crates/linkhold-gateway/src/cluster_state/primaries.rs
@@ -90,7 +90,10 @@
         let is_withheld = known
             .withholdings
             .is_withheld(&primary.id, now, known.directory_as_of);
-        !is_withheld && self.permission.covers(primary, now, known.directory_as_of)
+        !is_withheld
+            && self
+                .permission
+                .may_acknowledge_for(primary, now, known.directory_as_of)
     }
 
     /// Withholds acknowledgements for an instance for a while, since this node agreed
--- a/crates/linkhold-gateway/src/confirmation.rs
+++ b/crates/linkhold-gateway/src/confirmation.rs
@@ -29,7 +29,7 @@
 
 /// Answers a request for a confirmation.
 pub(crate) fn answer<P: Platform>(gateway: &Gateway<P>, number: u64) -> ReachabilityMessage {
-    let agreed = gateway.cluster.permission.confirm();
+    let agreed = gateway.cluster.permission.agreed_if_held();
     ReachabilityMessage::ConfirmationAnswer {
         number,
         agreed: agreed.filter(|subjects| subjects.len() <= MAX_SUBJECTS),
@@ -47,8 +47,10 @@
         let asked_at = Instant::now();
         if is_confirmed(&gateway).await {
             let agreed = gateway.cluster.permission.agreed();
-            gateway.cluster.permission.confirmed(asked_at, &agreed);
-            gateway.followers.confirmed(asked_at);
+            gateway
+                .cluster.permission
+                .record_confirmation(asked_at, &agreed);
+            gateway.followers.record_confirmation(asked_at);
         }
         sleep(CONFIRMATION_INTERVAL.saturating_sub(asked_at.elapsed())).await;
     }
@@ -57,15 +59,15 @@
 /// Whether enough nodes, this one included, have agreed to no replacement that this
 /// node does not know of.
 async fn is_confirmed<P: Platform>(gateway: &Gateway<P>) -> bool {
-    let Some(needed) = confirmations_needed(gateway.fleet.largest_size_lately()) else {
+    let Some(needed) = confirmations_needed(gateway.fleet.largest_recent_size()) else {
         return false;
     };
     let (Some(key), Some(socket)) = (gateway.fleet.key(), gateway.peers.socket()) else {
         return false;
     };
     let number = rand::random();
-    let mut answers = gateway.peers.confirmations.asked(number);
-    let mut pending = gateway.fleet.peers(&gateway.settings.node);
+    let mut answers = gateway.peers.confirmations.register(number);
+    let mut pending = gateway.fleet.peer_addresses(&gateway.settings.node);
     let question = ReachabilityMessage::ConfirmationQuestion { number };
     // If the question is lost, the next round repeats it.
     peers::send(&socket, &pending, &encode_reachability(&question, &key)).await;
@@ -81,10 +83,10 @@
         };
         pending.swap_remove(index);
         let permission = &gateway.cluster.permission;
-        if agreed.is_some_and(|agreed| permission.knows(&agreed)) {
+        if agreed.is_some_and(|agreed| permission.has_agreed_to_all(&agreed)) {
             confirmed += 1;
         }
     }
-    gateway.peers.confirmations.ended(number);
+    gateway.peers.confirmations.close(number);
     confirmed >= needed
 }
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -27,7 +27,7 @@
     let Some(primary) = gateway.cluster.primary(service) else {
         return Some(FailoverReason::Unknown);
     };
-    let audience = Audience::for_look(gateway, service);
+    let audience = Audience::for_probe(gateway, service);
     let peers = peers::ask(
         gateway,
         rand::random(),
@@ -96,15 +96,18 @@
             .field("peers", peers.len())
             .log();
     }
-    let places = &gateway.settings.places;
+    let zone_map = &gateway.settings.zone_map;
     let relay_peer = |address: SocketAddr| RelayPeer {
         address,
         // The region of a peer that this node does not list yet is not known: no bound
         // permits the empty name.
-        region: gateway.fleet.region_of(address, places).unwrap_or_default(),
+        region: gateway
+            .fleet
+            .region_of(address, zone_map)
+            .unwrap_or_default(),
     };
     let relay_peers = peers.into_iter().map(relay_peer).collect();
-    let instance_region = places.region(&primary.zone);
+    let instance_region = zone_map.region(&primary.zone);
     gateway
         .relays
         .set_peers(&primary.id, &instance_region, relay_peers);
@@ -132,13 +135,13 @@
     /// Watchers to ask: the answer of one may be lost, or it may not know the primary
     /// yet.
     const ASKED: usize = 2;
-    let audience = Audience::for_look(gateway, service).sample(ASKED);
+    let audience = Audience::for_probe(gateway, service).sample(ASKED);
     let subject = QuestionSubject::PrimaryOf(service.to_string());
     let purpose = QuestionPurpose::Probe;
     let findings = peers::ask(gateway, rand::random(), subject, purpose, &audience).await;
     let known = gateway.cluster.primary(service);
     let is_other = |id: &&InstanceId| known.as_ref().is_none_or(|primary| primary.id != **id);
-    let Some(primary) = findings.leaders.iter().find(is_other) else {
+    let Some(primary) = findings.primaries.iter().find(is_other) else {
         return false;
     };
     gateway
@@ -243,7 +246,7 @@
     subject: QuestionSubject,
 ) -> Result<Agreement, Vec<SocketAddr>> {
     ask_watchers_first(gateway, service, &subject).await?;
-    let audience = match Audience::everyone(gateway).await {
+    let audience = match Audience::all_nodes(gateway).await {
         Ok(audience) => audience,
         Err(reason) => {
             log_withheld(service, reason);
@@ -294,7 +297,7 @@
     if watchers.others.is_empty() {
         return Ok(());
     }
-    let audience = Audience::for_look(gateway, service);
+    let audience = Audience::for_probe(gateway, service);
     let purpose = QuestionPurpose::Probe;
     let findings = peers::ask(gateway, rand::random(), subject.clone(), purpose, &audience).await;
     if findings.tally.reached == 0 {
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -18,7 +18,7 @@
 use crate::gateway::Gateway;
 use crate::lease_format::{KnownClaims, decode_lease, encode_lease};
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
-use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, bounded};
+use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, with_timeout};
 
 /// Timeout of a claim, which is a read and a write of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
@@ -56,18 +56,18 @@
         let claiming = timeout(STORE_TIMEOUT, try_claim(gateway, service, successor));
         if let Ok(Ok(lease)) = claiming.await {
             match &lease {
-                Some(lease) => gateway.leases.remember(service, lease),
-                None => gateway.leases.lost(service),
+                Some(lease) => gateway.leases.record(service, lease),
+                None => gateway.leases.forget(service),
             }
             return lease.map(|lease| Claim { lease, asked_at });
         }
     }
     let asked_at = Instant::now();
-    let is_listed = gateway.cluster.permission.holds();
+    let is_listed = gateway.cluster.permission.is_held();
     // A node that is not listed must not use its old lease: another process may have
     // run under its name since, and used that lease.
     let may_use = gateway.platform.checks_tokens() && is_listed;
-    let era = gateway.store_era.known();
+    let era = gateway.store_era.latest();
     let held = gateway
         .leases
         .use_without_store(service, successor, may_use, era);
@@ -149,7 +149,7 @@
 ) -> Option<Claim> {
     if gateway.platform.checks_tokens() {
         let successor = claimed.lease.successor.as_ref()?;
-        let is_of_era = era_of_token(claimed.lease.token) == gateway.store_era.known();
+        let is_of_era = era_of_token(claimed.lease.token) == gateway.store_era.latest();
         let lasts = is_of_era && Instant::now() < claimed.order_by();
         return match lasts {
             true => Some(claimed.clone()),
@@ -164,7 +164,7 @@
     let asked_at = Instant::now();
     let marking = timeout(STORE_TIMEOUT, mark_order(gateway, service, &claimed.lease));
     let lease = marking.await.ok()?.ok()??;
-    gateway.leases.remember(service, &lease);
+    gateway.leases.record(service, &lease);
     Some(Claim { lease, asked_at })
 }
 
@@ -218,7 +218,7 @@
     let call = gateway
         .platform
         .read_rows(FleetTable::Claims, RowRange::All);
-    let rows = bounded(call, READ_TIMEOUT).await?;
+    let rows = with_timeout(call, READ_TIMEOUT).await?;
     let read_at = Instant::now();
     let mut claims = Vec::new();
     let mut records = Vec::new();
@@ -245,7 +245,7 @@
     gateway: &Gateway<P>,
     service: &ServiceName,
 ) -> Result<PromotionRecord, StoreError> {
-    bounded(read_lease(gateway, service), CALL_TIMEOUT)
+    with_timeout(read_lease(gateway, service), CALL_TIMEOUT)
         .await
         .map(|read| read.record)
 }
@@ -257,7 +257,7 @@
     service: &ServiceName,
     term: Term,
 ) -> Result<bool, StoreError> {
-    let mut read = bounded(read_lease(gateway, service), CALL_TIMEOUT).await?;
+    let mut read = with_timeout(read_lease(gateway, service), CALL_TIMEOUT).await?;
     let now = read.read_at.now;
     let claimed = read.lease.as_ref();
     let pending = claimed.filter(|it| it.may_take_effect(now));
@@ -272,7 +272,7 @@
     let Some(lease) = read.lease.clone().or_else(unused) else {
         return Ok(false);
     };
-    bounded(write_lease(gateway, service, &lease, &read), CALL_TIMEOUT).await
+    with_timeout(write_lease(gateway, service, &lease, &read), CALL_TIMEOUT).await
 }
 
 /// Claims the lease if it is free; `None` if another node holds it or wrote its row in
@@ -285,7 +285,7 @@
     let mut read = read_lease(gateway, service).await?;
     let node = &gateway.settings.node;
     let current = read.lease.clone().map(|row| match row.holder == *node {
-        true => gateway.leases.completed(service, row),
+        true => gateway.leases.with_local_state(service, row),
         false => row,
     });
     let lease = match failover::claim(current.as_ref(), node, successor, read.read_at) {
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -163,7 +163,7 @@
 
 /// Delay before this node's try, by its rank for the service.
 fn rank_delay<P: Platform>(gateway: &Gateway<P>, service: &str) -> Duration {
-    let rank = gateway.fleet.rank(&gateway.settings.node, service);
+    let rank = gateway.fleet.duty_rank(&gateway.settings.node, service);
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
     RANK_INTERVAL.saturating_mul(rank).min(LONGEST_RANK_DELAY)
 }
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -362,7 +362,7 @@
     let present = survey::status(gateway, old).await?;
     // A node that was paused during another node's hand-over repeated it on resuming,
     // from the old primary's log: 3 to 5 commits of the new primary were undone.
-    if !gateway.cluster.permission.holds() {
+    if !gateway.cluster.permission.is_held() {
         return None;
     }
     if !is_primary_of_newest_term(gateway, old, &present) {
--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/ready_leases.rs
@@ -20,7 +20,7 @@
 use crate::gateway::Gateway;
 use crate::lease_format::{decode_lease, encode_lease};
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
-use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, bounded};
+use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, with_timeout};
 
 /// How often a node checks for leases that it is to hold ready.
 const CHECK_INTERVAL: Duration = Duration::from_millis(3_000);
@@ -68,10 +68,10 @@
 /// Services for which this node is first in rank and whose lease it does not hold.
 fn wanted<P: Platform>(gateway: &Gateway<P>) -> BTreeSet<ServiceName> {
     let node = &gateway.settings.node;
-    let era = gateway.store_era.known();
+    let era = gateway.store_era.latest();
     let services = gateway.cluster.services().into_iter();
     services
-        .filter(|service| gateway.fleet.is_first(node, service))
+        .filter(|service| gateway.fleet.is_duty_owner(node, service))
         .filter(|service| !gateway.leases.holds(service, node, era))
         .collect()
 }
@@ -100,12 +100,12 @@
         gateway.metrics.store_calls.count(CallReason::Lease);
         let rows: Vec<RowWrite<'_>> = rows.collect();
         let call = gateway.platform.write_rows(&rows);
-        if bounded(call, CALL_TIMEOUT).await? == WriteResult::Conflict {
+        if with_timeout(call, CALL_TIMEOUT).await? == WriteResult::Conflict {
             // Another node claimed one of the leases in between: all are read again.
             return Err(StoreError::Refused);
         }
         for new in batch {
-            gateway.leases.remember(&new.service, &new.lease);
+            gateway.leases.record(&new.service, &new.lease);
             Event::info("lease_held_ready")
                 .field("service", &new.service)
                 .field("token", new.lease.token)
@@ -124,7 +124,7 @@
     let call = gateway
         .platform
         .read_rows(FleetTable::Leases, RowRange::All);
-    let rows = bounded(call, READ_TIMEOUT).await?;
+    let rows = with_timeout(call, READ_TIMEOUT).await?;
     let time = ClaimTime {
         now: rows.now,
         era: rows.era,
@@ -140,7 +140,7 @@
             continue;
         }
         let (current, record) = current.flatten().unzip();
-        let is_in_fleet = |holder: &str| gateway.fleet.knows(holder);
+        let is_in_fleet = |holder: &str| gateway.fleet.may_include(holder);
         let lease = failover::claim_in_advance(current.as_ref(), node, is_in_fleet, time);
         new.extend(lease.map(|lease| NewLease {
             service: service.clone(),
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -44,7 +44,7 @@
             );
         }
         for (service, proved) in &mut known {
-            let era = gateway.store_era.known();
+            let era = gateway.store_era.latest();
             if proved.stored_in != Some(era) && is_recorder(&gateway, service) {
                 proved.stored_in = record(&gateway, service, proved.term).await.then_some(era);
             }
@@ -62,7 +62,7 @@
     let owners = primary.and_then(|it| gateway.pools.designated_owners(&it, &gateway.cluster));
     match owners {
         Some(owners) => owners.rank() == Some(0),
-        None => gateway.fleet.rank(&gateway.settings.node, service) == 0,
+        None => gateway.fleet.duty_rank(&gateway.settings.node, service) == 0,
     }
 }
 
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -23,8 +23,8 @@
 use crate::ports::{BackendConnector, Platform};
 use crate::settings::GatewaySettings;
 use crate::state::{
-    Fleet, FleetSource, Forwarding, OwnRow, Peers, PrimaryVerifications, PromotionRecords,
-    Questions, ReaderLink, Relays, Sources, WarmUps,
+    EvidenceQuestions, Fleet, FleetSource, Forwarding, OwnRow, Peers, PrimaryVerifications, PromotionRecords,
+    ReaderLink, Relays, Sources, WarmUps,
 };
 use crate::store_era::StoreEra;
 use crate::watchers::Watchers;
@@ -45,7 +45,7 @@
     pub metrics: Metrics,
     /// Asks for evidence or a look at a primary.
     pub(crate) attention: Attention,
-    pub(crate) questions: Questions,
+    pub(crate) evidence_questions: EvidenceQuestions,
     pub(crate) fleet: Fleet,
     pub(crate) own_row: OwnRow,
     pub(crate) followers: Followers,
@@ -104,7 +104,7 @@
             settings,
             metrics: Metrics::default(),
             attention: Attention::default(),
-            questions: Questions::default(),
+            evidence_questions: EvidenceQuestions::default(),
             fleet: Fleet::default(),
             own_row: OwnRow::default(),
             followers: Followers::default(),
@@ -136,7 +136,7 @@
         let may_be_followed = self.fleet.has_readers() || !self.fleet.is_settled();
         // What was agreed to ends with news of the instances.
         let awaits_news = self.cluster.withholds_any();
-        if may_be_followed || awaits_news || self.followers.served() > 0 {
+        if may_be_followed || awaits_news || self.followers.open_streams() > 0 {
             self.freshness.long_poll
         } else {
             self.freshness.long_poll_alone
@@ -157,7 +157,7 @@
             return FleetSource::Store;
         }
         let own = &self.settings.node;
-        self.fleet.source(own, &self.settings.places)
+        self.fleet.source(own, &self.settings.zone_map)
     }
 
     /// Longest pause between two tries of a store that gives no answer.
@@ -290,7 +290,7 @@
             ("sessions_open", self.metrics.sessions_open()),
             ("zones_evacuated", self.cluster.evacuations().0.len() as u64),
             ("instances_held_off", self.warm_ups.count_held_off() as u64),
-            ("store_era", u64::from(self.store_era.known().0)),
+            ("store_era", u64::from(self.store_era.latest().0)),
             ("entries_unusable_total", self.platform.unusable_entries()),
         ];
         // A node that was never listed has no such age.
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -17,21 +17,20 @@
 mod forward;
 pub mod gate;
 mod gateway;
-mod keeper;
 mod lease_format;
 pub mod lifecycle;
 mod liveness;
 pub mod metrics;
-mod names;
+mod name_conflicts;
 mod observations;
 mod owners;
 mod peers;
 mod permission;
 mod permission_watch;
-pub mod places;
 mod pool;
 mod pools;
 pub mod ports;
+mod refresh;
 mod registration;
 pub mod registry;
 mod relay;
@@ -44,6 +43,7 @@
 mod store_era;
 mod warm_up;
 mod watchers;
+pub mod zone_map;
 
 use std::sync::Arc;
 
@@ -55,16 +55,16 @@
 /// Starts the tasks that keep a node's cluster state current. They run until the process
 /// ends.
 pub fn start_tasks<P: Platform>(gateway: &Arc<Gateway<P>>) {
-    tokio::spawn(keeper::keep_configuration(gateway.clone()));
-    tokio::spawn(keeper::keep_instances(gateway.clone()));
-    tokio::spawn(keeper::expire_instances(gateway.clone()));
-    tokio::spawn(keeper::close_unused_connections(gateway.clone()));
+    tokio::spawn(refresh::refresh_configuration(gateway.clone()));
+    tokio::spawn(refresh::refresh_instances(gateway.clone()));
+    tokio::spawn(refresh::expire_instances(gateway.clone()));
+    tokio::spawn(refresh::close_unused_connections(gateway.clone()));
     tokio::spawn(registration::keep_registered(gateway.clone()));
     tokio::spawn(permission_watch::watch(gateway.clone()));
     tokio::spawn(confirmation::keep_confirmed(gateway.clone()));
     tokio::spawn(peers::answer_questions(gateway.clone()));
     tokio::spawn(feed::serve_peers(gateway.clone()));
-    tokio::spawn(sources::choose(gateway.clone()));
+    tokio::spawn(sources::choose_source(gateway.clone()));
     tokio::spawn(failover::watch_primaries(gateway.clone()));
     tokio::spawn(failover::hold_leases_ready(gateway.clone()));
     tokio::spawn(failover::update_promotion_records(gateway.clone()));
--- a/crates/linkhold-gateway/src/liveness.rs
+++ b/crates/linkhold-gateway/src/liveness.rs
@@ -1,7 +1,8 @@
 //! Whether the process at another node's address still runs.
 //!
-//! A machine whose process has ended refuses connections; one without power, behind a cut or
-//! paused says nothing. Only a refusal proves that nothing runs there.
+//! A machine whose process has ended refuses connections. A machine without power or behind
+//! a network cut, or a paused process, does not answer. Only a refusal proves that no process
+//! runs there.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,61 +15,61 @@
 
 use crate::cluster_state::lock;
 
-/// How long a node has to take a connection: seven times the way between regions and back.
+/// How long a node has to accept a connection: seven round trips between regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long what was found counts: a process that has ended is started again after a second
-/// at the least.
-const FINDING_LIFE: Duration = Duration::from_millis(700);
+/// How long a result counts: a process that has ended is restarted after a second at the
+/// earliest.
+const RESULT_LIFETIME: Duration = Duration::from_millis(700);
 
-/// What a try to connect to a node found.
+/// State of a process as found by connecting to its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Life {
-    /// It takes connections.
+pub(crate) enum ProcessState {
+    /// The process accepts connections.
     Reached,
-    /// Its machine refuses them: the process has ended.
+    /// The machine refuses connections: the process has ended.
     Ended,
-    /// Nothing came back: it may run.
+    /// No answer: the process may run.
     Silent,
 }
 
-/// Tries to connect to a node.
-pub(crate) async fn look(address: SocketAddr) -> Life {
+/// Tries to connect to a node within [`CONNECT_TIMEOUT`].
+pub(crate) async fn probe(address: SocketAddr) -> ProcessState {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Life::Reached,
-        Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Life::Ended,
-        Ok(Err(_)) | Err(_) => Life::Silent,
+        Ok(Ok(_)) => ProcessState::Reached,
+        Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => ProcessState::Ended,
+        Ok(Err(_)) | Err(_) => ProcessState::Silent,
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Finding {
-    looked_at: Instant,
-    /// What was found; `None` while the first look is under way.
-    life: Option<Life>,
+struct ProbeResult {
+    probed_at: Instant,
+    /// State that was found; `None` while the first probe is under way.
+    state: Option<ProcessState>,
 }
 
-/// What was found of nodes that gave no answer.
+/// Last known states of the processes at nodes that did not answer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Liveness(Arc<Mutex<HashMap<SocketAddr, Finding>>>);
+pub(crate) struct Liveness(Arc<Mutex<HashMap<SocketAddr, ProbeResult>>>);
 
 impl Liveness {
-    /// What was found of a node last; `None` if nothing yet. Looks for the next time, and
-    /// never waits.
-    pub fn of(&self, address: SocketAddr) -> Option<Life> {
-        let looked_at = Instant::now();
-        let mut findings = lock(&self.0);
-        let known = findings.get(&address).copied();
-        let life = known.and_then(|known| known.life);
-        if known.is_none_or(|known| looked_at >= known.looked_at + FINDING_LIFE) {
-            findings.insert(address, Finding { looked_at, life });
-            tokio::spawn(self.clone().look(address));
+    /// Returns the last known state of a node's process, `None` if there is none yet. Starts
+    /// a new probe if the last result is too old, without waiting for it.
+    pub fn last_state(&self, address: SocketAddr) -> Option<ProcessState> {
+        let probed_at = Instant::now();
+        let mut results = lock(&self.0);
+        let known = results.get(&address).copied();
+        let state = known.and_then(|known| known.state);
+        if known.is_none_or(|known| probed_at >= known.probed_at + RESULT_LIFETIME) {
+            results.insert(address, ProbeResult { probed_at, state });
+            tokio::spawn(self.clone().probe(address));
         }
-        life
+        state
     }
 
-    async fn look(self, address: SocketAddr) {
-        let life = Some(look(address).await);
-        let looked_at = Instant::now();
-        lock(&self.0).insert(address, Finding { looked_at, life });
+    async fn probe(self, address: SocketAddr) {
+        let state = Some(probe(address).await);
+        let probed_at = Instant::now();
+        lock(&self.0).insert(address, ProbeResult { probed_at, state });
     }
 }
--- a/crates/linkhold-gateway/src/owners.rs
+++ b/crates/linkhold-gateway/src/owners.rs
@@ -14,8 +14,8 @@
 use linkhold_peer::FeedNode;
 
 use crate::cluster_state::lock;
-use crate::places::Places;
 use crate::request::principal::Principal;
+use crate::zone_map::ZoneMap;
 
 /// The owners of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -125,13 +125,13 @@
 /// The owners of every instance, determined on demand and cached.
 pub(crate) struct Owners {
     own: NodeId,
-    zone_map: Places,
+    zone_map: ZoneMap,
     state: Mutex<State>,
 }
 
 impl Owners {
     /// Creates an instance that knows no nodes.
-    pub fn new(own: NodeId, zone_map: Places) -> Self {
+    pub fn new(own: NodeId, zone_map: ZoneMap) -> Self {
         Self {
             own,
             zone_map,
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -42,7 +42,7 @@
         Self {
             pools: Mutex::default(),
             nodes: AtomicUsize::new(ASSUMED_NODES),
-            owners: Owners::new(own, settings.places.clone()),
+            owners: Owners::new(own, settings.zone_map.clone()),
             started_at: Instant::now(),
             is_crowded: AtomicBool::new(false),
         }
--- a/crates/linkhold-gateway/src/state/questions.rs
+++ b/crates/linkhold-gateway/src/state/evidence_questions.rs
@@ -1,4 +1,4 @@
-//! Questions for evidence that are under way.
+//! Services with a pending question for evidence.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -7,17 +7,17 @@
 
 use crate::cluster_state::lock;
 
-/// Services about which a question is under way.
+/// Services with a pending question.
 #[derive(Debug, Default)]
-pub(crate) struct Questions(Mutex<HashSet<ServiceName>>);
+pub(crate) struct EvidenceQuestions(Mutex<HashSet<ServiceName>>);
 
-impl Questions {
-    /// A question is asked unless one is under way; whether it is.
+impl EvidenceQuestions {
+    /// Marks a service's question as pending. Returns whether none was pending before.
     pub fn start(&self, service: &ServiceName) -> bool {
         lock(&self.0).insert(service.clone())
     }
 
-    /// The question was answered, or given up.
+    /// Ends a service's question, answered or given up.
     pub fn end(&self, service: &ServiceName) {
         lock(&self.0).remove(service);
     }
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -137,7 +137,7 @@
     fn sender_rank(&self, instance: &Instance) -> SenderRank {
         let owners = self.pools.owners().of(instance);
         SenderRank {
-            rank: owners.rank().filter(|_| self.fleet.knows_all()),
+            rank: owners.rank().filter(|_| self.fleet.knows_all_nodes()),
             view_age: self.cluster.directory_age(),
             uptime: self.started_at.elapsed(),
             was_listed: self.fleet.was_listed(),
