--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -37,7 +37,7 @@
 use crate::gateway::Gateway;
 use crate::owners::{InstanceOwners, PermittedOwners};
 use crate::ports::{BackendErrorKind, Platform};
-use crate::request::attempt::{Answer, Attempt, Bounds, Held, NotRunCause};
+use crate::request::attempt::{Answer, AttemptOutcome, Bounds, Held, NotRunCause};
 use crate::request::batch::{Frame, Work};
 use crate::request::conversation::InFlight;
 use crate::request::principal::Principal;
@@ -96,17 +96,17 @@
     work: &Work,
     frame: Frame,
     bounds: Bounds,
-) -> Option<Attempt<P>> {
+) -> Option<AttemptOutcome<P>> {
     let mut left: Vec<SocketAddr> = owners.addresses().to_vec();
     let mut held_off: Option<Duration> = None;
     loop {
         if Instant::now() >= bounds.answer_by {
-            return Some(Attempt::NotRun(NotRunCause::NoConnection));
+            return Some(AttemptOutcome::NotRun(NotRunCause::NoConnection));
         }
         let Some(owner) = gateway.forwarding.choose(&left) else {
             // None of those who may send to it has room for now.
             let cause = NotRunCause::WarmingUp(held_off?);
-            return Some(Attempt::NotRun(cause));
+            return Some(AttemptOutcome::NotRun(cause));
         };
         let link = gateway.forwarding.link(owner, gateway.fleet.key()?);
         let statement = ForwardStatement {
@@ -134,11 +134,11 @@
         let repeatable = work.access() == Access::Read || matches!(frame, Frame::Opening { .. });
         match call.run(statement, bounds.answer_by, repeatable).await {
             // Another owner may know that the instance is warm, or have room.
-            Ended::Attempt(Attempt::NotRun(NotRunCause::WarmingUp(after))) => {
+            Ended::AttemptOutcome(AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))) => {
                 held_off = Some(held_off.map_or(after, |least| least.min(after)));
                 left.retain(|other| *other != owner);
             }
-            Ended::Attempt(attempt) => return Some(attempt),
+            Ended::AttemptOutcome(attempt) => return Some(attempt),
             Ended::NotTaken(why) => gateway.forwarding.pass_over(owner, why),
         }
     }
@@ -151,7 +151,7 @@
     principal: Principal<'_>,
     work: &Work,
     answer_by: Instant,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let opened_by = lent.number.take();
     let statement = ForwardStatement {
         number: rand::random(),
@@ -175,9 +175,9 @@
         work,
     };
     match call.run(statement, answer_by, false).await {
-        Ended::Attempt(attempt) => attempt,
+        Ended::AttemptOutcome(attempt) => attempt,
         // The owner lost the connection, which undoes what was open on it.
-        Ended::NotTaken(_) => Attempt::NotRun(NotRunCause::Unreachable),
+        Ended::NotTaken(_) => AttemptOutcome::NotRun(NotRunCause::Unreachable),
     }
 }
 
@@ -191,7 +191,7 @@
 
 /// How a call ended.
 enum Ended<P: Platform> {
-    Attempt(Attempt<P>),
+    AttemptOutcome(AttemptOutcome<P>),
     /// The owner did not take it, or is lost and can keep nothing of it.
     NotTaken(&'static str),
 }
@@ -222,17 +222,17 @@
             Err(CallFailure::NotSent) => Ended::NotTaken("unreachable"),
             Err(CallFailure::Broken) => {
                 lent.number = None;
-                Ended::Attempt(Attempt::Lost)
+                Ended::AttemptOutcome(AttemptOutcome::Lost)
             }
             Err(CallFailure::OwnerSilent) if repeatable => Ended::NotTaken("silent"),
             Err(CallFailure::OwnerSilent) => {
                 let owner = self.link.owner();
                 self.gateway.forwarding.pass_over(owner, "silent");
-                Ended::Attempt(Attempt::TimedOut)
+                Ended::AttemptOutcome(AttemptOutcome::TimedOut)
             }
             Err(CallFailure::NoAnswer) => {
                 self.gateway.instance_silent(self.instance, sent_at);
-                Ended::Attempt(Attempt::TimedOut)
+                Ended::AttemptOutcome(AttemptOutcome::TimedOut)
             }
         }
     }
@@ -262,12 +262,12 @@
         if !is_lent {
             lent.number = None;
         }
-        Ended::Attempt(match outcome {
+        Ended::AttemptOutcome(match outcome {
             ForwardOutcome::Answered { reply, begin, .. } => {
                 let reply = translate::reply_from(reply);
                 let took = sent_at.elapsed();
                 gateway.instance_answered(&self.instance.id, took, reply.position);
-                Attempt::Answered(Answer {
+                AttemptOutcome::Answered(Answer {
                     reply,
                     begin: begin.map(|begin| (sent_at, translate::reply_from(begin))),
                     held: Held::Lent(lent),
@@ -275,31 +275,31 @@
                 })
             }
             ForwardOutcome::NotOwner => return Ended::NotTaken("not_owner"),
-            ForwardOutcome::NoConnection => Attempt::NotRun(NotRunCause::NoConnection),
+            ForwardOutcome::NoConnection => AttemptOutcome::NotRun(NotRunCause::NoConnection),
             ForwardOutcome::Unreachable => {
                 gateway.connection_lost(self.instance);
-                Attempt::NotRun(NotRunCause::Unreachable)
+                AttemptOutcome::NotRun(NotRunCause::Unreachable)
             }
             ForwardOutcome::Refused(kind) => {
                 let kind: BackendErrorKind = translate::error_from(kind);
                 gateway.note_refusal(self.instance, kind);
-                Attempt::NotRun(NotRunCause::Refused(kind))
+                AttemptOutcome::NotRun(NotRunCause::Refused(kind))
             }
             ForwardOutcome::Ineligible(reason) => {
                 let reason = translate::ineligible_from(reason);
-                Attempt::NotRun(NotRunCause::Ineligible(reason))
+                AttemptOutcome::NotRun(NotRunCause::Ineligible(reason))
             }
             ForwardOutcome::WarmingUp(after_ms) => {
                 let after = Duration::from_millis(after_ms);
-                Attempt::NotRun(NotRunCause::WarmingUp(after))
+                AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
             }
             ForwardOutcome::Lost => {
                 gateway.connection_lost(self.instance);
-                Attempt::Lost
+                AttemptOutcome::Lost
             }
             ForwardOutcome::TimedOut => {
                 gateway.instance_silent(self.instance, sent_at);
-                Attempt::TimedOut
+                AttemptOutcome::TimedOut
             }
         })
     }
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -28,7 +28,9 @@
 use crate::gateway::Gateway;
 use crate::pool::Lease;
 use crate::ports::Platform;
-use crate::request::attempt::{self, Answer, Attempt, Bounds, ConnectionOf, Held, NotRunCause};
+use crate::request::attempt::{
+    self, Answer, AttemptOutcome, Bounds, ConnectionOf, Held, NotRunCause,
+};
 use crate::request::batch::{Frame, Work};
 use crate::request::principal::Principal;
 use crate::request::transaction::roll_back;
@@ -227,8 +229,8 @@
     let opens = matches!(frame, Frame::Opening { .. });
     let attempt = attempt::run_here(gateway, &instance, principal, &work, frame, bounds).await;
     match attempt {
-        Attempt::Answered(answer) if opens => lent.keep(statement.number, answer),
-        Attempt::Answered(answer) => {
+        AttemptOutcome::Answered(answer) if opens => lent.keep(statement.number, answer),
+        AttemptOutcome::Answered(answer) => {
             let (reply, begin) = replies(&answer);
             answer.held.finish(answer.reply.status);
             ForwardOutcome::Answered {
@@ -273,7 +275,7 @@
     let _pass = lease.gate().enter_at_once();
     let attempt = attempt::run_on_own(gateway, lease, principal, &work, frame, answer_by).await;
     match attempt {
-        Attempt::Answered(answer) => lent.keep(opened_by, answer),
+        AttemptOutcome::Answered(answer) => lent.keep(opened_by, answer),
         failed => failure(failed),
     }
 }
@@ -291,21 +293,21 @@
     )
 }
 
-fn failure<P: Platform>(attempt: Attempt<P>) -> ForwardOutcome {
+fn failure<P: Platform>(attempt: AttemptOutcome<P>) -> ForwardOutcome {
     match attempt {
-        Attempt::NotRun(NotRunCause::NoConnection) => ForwardOutcome::NoConnection,
-        Attempt::NotRun(NotRunCause::Unreachable) => ForwardOutcome::Unreachable,
-        Attempt::NotRun(NotRunCause::Refused(kind)) => {
+        AttemptOutcome::NotRun(NotRunCause::NoConnection) => ForwardOutcome::NoConnection,
+        AttemptOutcome::NotRun(NotRunCause::Unreachable) => ForwardOutcome::Unreachable,
+        AttemptOutcome::NotRun(NotRunCause::Refused(kind)) => {
             ForwardOutcome::Refused(translate::error(kind))
         }
-        Attempt::NotRun(NotRunCause::WarmingUp(after)) => {
+        AttemptOutcome::NotRun(NotRunCause::WarmingUp(after)) => {
             ForwardOutcome::WarmingUp(milliseconds(after))
         }
-        Attempt::NotRun(NotRunCause::Ineligible(reason)) => {
+        AttemptOutcome::NotRun(NotRunCause::Ineligible(reason)) => {
             ForwardOutcome::Ineligible(translate::ineligible(reason))
         }
-        Attempt::Lost | Attempt::Answered(_) => ForwardOutcome::Lost,
-        Attempt::TimedOut => ForwardOutcome::TimedOut,
+        AttemptOutcome::Lost | AttemptOutcome::Answered(_) => ForwardOutcome::Lost,
+        AttemptOutcome::TimedOut => ForwardOutcome::TimedOut,
     }
 }
 
--- a/crates/linkhold-gateway/src/request/attempt/ending.rs
+++ b/crates/linkhold-gateway/src/request/attempt/ending.rs
@@ -5,7 +5,7 @@
 use linkhold_core::service::instance::Instance;
 use linkhold_core::service::session::TransactionStatus;
 
-use super::{Answer, Attempt, BeginReply, ConnectionOf, Held, NotRunCause};
+use super::{Answer, AttemptOutcome, BeginReply, ConnectionOf, Held, NotRunCause};
 use crate::gateway::Gateway;
 use crate::pool::{CheckoutError, Lease};
 use crate::ports::{BackendErrorKind, BackendReply, ConnectError, ExchangeError, Platform};
@@ -38,13 +38,13 @@
     main: usize,
     begin: Option<BeginReply>,
     sent_at: Instant,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let status = replies[replies.len() - 1].status;
     let reply = replies[main].clone();
     if let Some(kind) = refusal(begin.as_ref(), &reply) {
         return refused(gateway, lease, kind, status);
     }
-    Attempt::Answered(Answer {
+    AttemptOutcome::Answered(Answer {
         reply,
         begin,
         held: Held::Own(lease),
@@ -57,7 +57,7 @@
     lease: Lease<ConnectionOf<P>>,
     error: &ExchangeError,
     main: usize,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     drop(lease);
     // A refusal that came before the break still proves that nothing ran.
     let refusal = error
@@ -66,8 +66,8 @@
         .and_then(BackendReply::error)
         .filter(|kind| proves_not_run(*kind));
     match refusal {
-        Some(kind) => Attempt::NotRun(NotRunCause::Refused(kind)),
-        None => Attempt::Lost,
+        Some(kind) => AttemptOutcome::NotRun(NotRunCause::Refused(kind)),
+        None => AttemptOutcome::Lost,
     }
 }
 
@@ -84,7 +84,7 @@
     mut lease: Lease<ConnectionOf<P>>,
     kind: BackendErrorKind,
     status: TransactionStatus,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let instance = lease.instance().clone();
     lease.pooled().needs_rollback = status != TransactionStatus::Idle;
     if kind == BackendErrorKind::UnknownPrepared {
@@ -101,7 +101,7 @@
             .refused();
     }
     gateway.note_refusal(&instance, kind);
-    Attempt::NotRun(NotRunCause::Refused(kind))
+    AttemptOutcome::NotRun(NotRunCause::Refused(kind))
 }
 
 /// Whether an error is a promise that the statement did not run.
--- a/crates/linkhold-gateway/src/request/attempt/exchange.rs
+++ b/crates/linkhold-gateway/src/request/attempt/exchange.rs
@@ -8,7 +8,7 @@
 use linkhold_events::Event;
 
 use super::ending::{answered, broken};
-use super::{Attempt, BeginReply, ConnectionOf, NotRunCause};
+use super::{AttemptOutcome, BeginReply, ConnectionOf, NotRunCause};
 use crate::gateway::Gateway;
 use crate::pool::Lease;
 use crate::ports::{BackendConnection, BackendErrorKind, Platform};
@@ -27,10 +27,10 @@
     work: &Work,
     frame: Frame,
     answer_by: Instant,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     if is_withheld(gateway, &lease) {
         // The connection is closed, which undoes what is open on it.
-        return Attempt::NotRun(NotRunCause::Unreachable);
+        return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
     if let Err(reason) = may_send(gateway, &lease, principal) {
         return ineligible(work, &lease, reason);
@@ -58,14 +58,14 @@
     // Whoever may have been left out when the primary was replaced acknowledged 20
     // commits of the old one in a cut of 26 s.
     if needs_permission && !gateway.beliefs.may_speak_for(lease.instance(), sent_at) {
-        return Attempt::NotRun(NotRunCause::Unreachable);
+        return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
     let service = &lease.instance().service;
     let proved = needs_permission.then(|| gateway.beliefs.newest_position(service));
     match converse(gateway, &mut lease, &batch.commands, answer_by).await {
         Conversation::Silent => {
             log_unanswered(work, &lease, sent_at, "silent");
-            Attempt::TimedOut
+            AttemptOutcome::TimedOut
         }
         Conversation::Broken(error) => {
             log_unanswered(work, &lease, sent_at, "connection_lost");
@@ -77,10 +77,10 @@
         {
             log_unanswered(work, &lease, sent_at, "primary_may_be_replaced");
             if work.may_commit() {
-                Attempt::Lost
+                AttemptOutcome::Lost
             } else {
                 // Nothing of a read is kept: it is told by whoever leads.
-                Attempt::NotRun(NotRunCause::Refused(BackendErrorKind::ReadOnly))
+                AttemptOutcome::NotRun(NotRunCause::Refused(BackendErrorKind::ReadOnly))
             }
         }
         Conversation::Answered(replies) => {
@@ -99,12 +99,12 @@
     mut lease: Lease<ConnectionOf<P>>,
     batch: &Batch,
     answer_by: Instant,
-) -> Result<(Lease<ConnectionOf<P>>, Option<BeginReply>), Attempt<P>> {
+) -> Result<(Lease<ConnectionOf<P>>, Option<BeginReply>), AttemptOutcome<P>> {
     let sent_at = Instant::now();
     let replies = match converse(gateway, &mut lease, &batch.setup, answer_by).await {
         Conversation::Answered(replies) => replies,
         Conversation::Broken(_) | Conversation::Silent => {
-            return Err(Attempt::NotRun(NotRunCause::Unreachable));
+            return Err(AttemptOutcome::NotRun(NotRunCause::Unreachable));
         }
     };
     let Some(refused) = replies.iter().position(|reply| reply.error().is_some()) else {
@@ -122,7 +122,7 @@
         drop(lease);
     }
     gateway.note_refusal(&instance, kind);
-    Err(Attempt::NotRun(NotRunCause::Refused(kind)))
+    Err(AttemptOutcome::NotRun(NotRunCause::Refused(kind)))
 }
 
 /// Whether a statement may be sent on a connection, as things stand now.
@@ -144,14 +144,14 @@
     work: &Work,
     lease: &Lease<ConnectionOf<P>>,
     reason: Ineligible,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     Event::info("statement_ineligible")
         .field("request", String::from_utf8_lossy(work.id()))
         .field("instance", &lease.instance().id)
         .field("zone", &lease.instance().zone)
         .field("reason", reason)
         .log();
-    Attempt::NotRun(NotRunCause::Ineligible(reason))
+    AttemptOutcome::NotRun(NotRunCause::Ineligible(reason))
 }
 
 /// A statement that a cold instance has no room for. What is open on the
@@ -160,7 +160,7 @@
     mut lease: Lease<ConnectionOf<P>>,
     frame: Frame,
     after: Duration,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     match frame {
         // Its transaction ends with the connection.
         Frame::Inside => drop(lease),
@@ -170,7 +170,7 @@
         }
         Frame::Bare { .. } | Frame::ProvingPrimary => lease.release(),
     }
-    Attempt::NotRun(NotRunCause::WarmingUp(after))
+    AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
 }
 
 /// Whether nothing that comes on a connection may be acknowledged, be it through a
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -38,7 +38,7 @@
 }
 
 /// How a try ended.
-pub(crate) enum Attempt<P: Platform> {
+pub(crate) enum AttemptOutcome<P: Platform> {
     /// The instance answered the statement.
     Answered(Answer<P>),
     /// Nothing of the statement ran; the connection may have been given back.
@@ -86,7 +86,7 @@
     work: &Work,
     frame: Frame,
     bounds: Bounds,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let now = Instant::now();
     gateway
         .beliefs
@@ -115,9 +115,9 @@
     instance: &Instance,
     work: &Work,
     frame: Frame,
-    attempt: &Attempt<P>,
+    attempt: &AttemptOutcome<P>,
 ) -> bool {
-    let is_answered = matches!(attempt, Attempt::Answered(_));
+    let is_answered = matches!(attempt, AttemptOutcome::Answered(_));
     is_answered && speaks_for_primary(gateway, instance, work, frame)
 }
 
@@ -129,14 +129,14 @@
     work: &Work,
     frame: Frame,
     bounds: Bounds,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     if gateway.relays.bars(&instance.id, principal.regions) {
-        return Attempt::NotRun(NotRunCause::Unreachable);
+        return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
     if speaks_for_primary(gateway, instance, work, frame)
         && let Err(cause) = lead_proof::prove(gateway, instance).await
     {
-        return Attempt::NotRun(cause);
+        return AttemptOutcome::NotRun(cause);
     }
     let pool = gateway.pools.pool(instance, &gateway.beliefs);
     let entered = pool
@@ -144,7 +144,7 @@
         .enter(bounds.urgency, bounds.connection_by)
         .await;
     let Some(_pass) = entered else {
-        return Attempt::NotRun(NotRunCause::NoConnection);
+        return AttemptOutcome::NotRun(NotRunCause::NoConnection);
     };
     let checkout = pool
         .checkout(
@@ -156,7 +156,7 @@
         .await;
     let lease = match checkout {
         Ok(lease) => lease,
-        Err(error) => return Attempt::NotRun(ending::of_checkout(gateway, instance, error)),
+        Err(error) => return AttemptOutcome::NotRun(ending::of_checkout(gateway, instance, error)),
     };
     run_on_own(gateway, lease, principal, work, frame, bounds.answer_by).await
 }
@@ -168,13 +168,13 @@
     principal: Principal<'_>,
     work: &Work,
     answer_by: Instant,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let frame = Frame::Inside;
     let needs_permission = speaks_for_primary(gateway, held.instance(), work, frame);
     if needs_permission && gateway.beliefs.is_replaced(held.instance()) {
         // The connection is closed with it, which undoes what is open on it.
         drop(held);
-        return Attempt::NotRun(NotRunCause::Unreachable);
+        return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
     let instance = held.instance().clone();
     let attempt = match held {
--- a/crates/linkhold-gateway/src/request/primary_answer.rs
+++ b/crates/linkhold-gateway/src/request/primary_answer.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::Gateway;
 use crate::ports::{BackendReply, Platform};
-use crate::request::attempt::Attempt;
+use crate::request::attempt::AttemptOutcome;
 use crate::request::batch::{Frame, Work};
 
 /// Whether what an instance answered as a primary may be told: its log ends in no older
@@ -52,12 +52,12 @@
     instance: &Instance,
     work: &Work,
     frame: Frame,
-    attempt: Attempt<P>,
-) -> Attempt<P> {
-    let is_answered = matches!(attempt, Attempt::Answered(_));
+    attempt: AttemptOutcome<P>,
+) -> AttemptOutcome<P> {
+    let is_answered = matches!(attempt, AttemptOutcome::Answered(_));
     let commits = work.may_commit() && speaks_for_primary(gateway, instance, work, frame);
     if is_answered && commits && gateway.beliefs.is_replaced(instance) {
-        return Attempt::Lost;
+        return AttemptOutcome::Lost;
     }
     attempt
 }
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -28,7 +28,7 @@
 use crate::gate::Urgency;
 use crate::gateway::Gateway;
 use crate::ports::{BackendErrorKind, BackendReply, Platform};
-use crate::request::attempt::{self, Answer, Attempt, Bounds, NotRunCause};
+use crate::request::attempt::{self, Answer, AttemptOutcome, Bounds, NotRunCause};
 use crate::request::batch::{Frame, Work};
 use crate::request::marks::SessionMarks;
 use crate::request::principal::Principal;
@@ -135,21 +135,21 @@
         };
         let attempt = attempt::run(gateway, &primary, unit.principal(), work, frame, bounds).await;
         match attempt {
-            Attempt::Answered(answer) => {
+            AttemptOutcome::Answered(answer) => {
                 note_primary_answer(gateway, &primary, &answer, work, opening);
                 return Ok(answer);
             }
-            Attempt::NotRun(NotRunCause::WarmingUp(after))
+            AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
                 if Instant::now() + after >= unit.wait_until() =>
             {
                 let reason = NotRun::WarmingUp { retry_after: after };
                 return Err(Failure::NotRun(reason));
             }
-            Attempt::NotRun(NotRunCause::WarmingUp(after)) => {
+            AttemptOutcome::NotRun(NotRunCause::WarmingUp(after)) => {
                 reason = NotRun::WarmingUp { retry_after: after };
                 sleep(after).await;
             }
-            Attempt::NotRun(cause) => {
+            AttemptOutcome::NotRun(cause) => {
                 reason = refusal_reason(cause);
                 retrying(gateway, work, &primary, cause);
                 if cause != NotRunCause::Refused(BackendErrorKind::ReadOnly) {
@@ -157,9 +157,9 @@
                     pause = (pause * 2).min(LONGEST_BUSY_PAUSE);
                 }
             }
-            Attempt::Lost if repeatable => reason = NotRun::BackendUnavailable,
-            Attempt::Lost => return Err(lost(opening, Unknown::ConnectionLost)),
-            Attempt::TimedOut => return Err(lost(opening, Unknown::TimedOut)),
+            AttemptOutcome::Lost if repeatable => reason = NotRun::BackendUnavailable,
+            AttemptOutcome::Lost => return Err(lost(opening, Unknown::ConnectionLost)),
+            AttemptOutcome::TimedOut => return Err(lost(opening, Unknown::TimedOut)),
         }
     }
 }
@@ -319,13 +319,13 @@
         let frame = read_frame(opening, fence);
         let attempt = attempt::run(gateway, &instance, unit.principal(), work, frame, bounds).await;
         match attempt {
-            Attempt::Answered(answer) => {
+            AttemptOutcome::Answered(answer) => {
                 gateway
                     .beliefs
                     .observe(&instance.id, |health| health.was_fresh_enough());
                 return Ok(answer);
             }
-            Attempt::NotRun(cause) => {
+            AttemptOutcome::NotRun(cause) => {
                 reason = refusal_reason(cause);
                 retrying(gateway, work, &instance, cause);
                 if let NotRunCause::WarmingUp(after) = cause {
@@ -333,14 +333,14 @@
                     beliefs.observe(&instance.id, |health| health.was_busy(now, after));
                 }
             }
-            Attempt::Lost | Attempt::TimedOut if opening != Opening::Alone => {
+            AttemptOutcome::Lost | AttemptOutcome::TimedOut if opening != Opening::Alone => {
                 return Err(Failure::NotRun(NotRun::TransactionAborted));
             }
-            Attempt::Lost => reason = NotRun::BackendUnavailable,
-            Attempt::TimedOut if Instant::now() >= unit.answer_by() => {
+            AttemptOutcome::Lost => reason = NotRun::BackendUnavailable,
+            AttemptOutcome::TimedOut if Instant::now() >= unit.answer_by() => {
                 return Err(Failure::Unknown(Unknown::TimedOut));
             }
-            Attempt::TimedOut => reason = NotRun::Overloaded,
+            AttemptOutcome::TimedOut => reason = NotRun::Overloaded,
         }
         excluded.push(instance.id.clone());
     }
--- a/crates/linkhold-gateway/src/request/transaction.rs
+++ b/crates/linkhold-gateway/src/request/transaction.rs
@@ -24,7 +24,7 @@
 use crate::gateway::Gateway;
 use crate::pool::Lease;
 use crate::ports::{BackendConnection, BackendErrorKind, BackendReply, Command, Platform};
-use crate::request::attempt::{self, Answer, Attempt, Held, NotRunCause};
+use crate::request::attempt::{self, Answer, AttemptOutcome, Held, NotRunCause};
 use crate::request::batch::Work;
 use crate::request::principal::Principal;
 
@@ -84,14 +84,14 @@
         let principal = principal(&self.admitted, session);
         let attempt = attempt::run_on(gateway, self.held, principal, work, answer_by).await;
         match attempt {
-            Attempt::Answered(Answer { reply, held, .. }) => {
+            AttemptOutcome::Answered(Answer { reply, held, .. }) => {
                 self.held = held;
                 Ok((self, reply))
             }
-            Attempt::NotRun(NotRunCause::Refused(BackendErrorKind::Busy)) => {
+            AttemptOutcome::NotRun(NotRunCause::Refused(BackendErrorKind::Busy)) => {
                 Err(Failure::NotRun(NotRun::Overloaded))
             }
-            Attempt::NotRun(_) | Attempt::Lost | Attempt::TimedOut => {
+            AttemptOutcome::NotRun(_) | AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
                 Err(Failure::NotRun(NotRun::TransactionAborted))
             }
         }
@@ -108,10 +108,10 @@
         let principal = principal(&self.admitted, session);
         let attempt = attempt::run_on(gateway, self.held, principal, work, answer_by).await;
         let answer = match attempt {
-            Attempt::Answered(answer) => answer,
-            Attempt::NotRun(_) => return Err(Failure::NotRun(NotRun::TransactionAborted)),
-            Attempt::Lost => return Err(commit_lost(self.wrote, Unknown::ConnectionLost)),
-            Attempt::TimedOut => return Err(commit_lost(self.wrote, Unknown::TimedOut)),
+            AttemptOutcome::Answered(answer) => answer,
+            AttemptOutcome::NotRun(_) => return Err(Failure::NotRun(NotRun::TransactionAborted)),
+            AttemptOutcome::Lost => return Err(commit_lost(self.wrote, Unknown::ConnectionLost)),
+            AttemptOutcome::TimedOut => return Err(commit_lost(self.wrote, Unknown::TimedOut)),
         };
         let succeeded = answer.reply.error().is_none();
         let position = answer.reply.position.filter(|_| self.wrote && succeeded);
