--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -37,7 +37,7 @@
 use crate::gateway::Gateway;
 use crate::owners::{InstanceOwners, PermittedOwners};
 use crate::ports::{BackendErrorKind, Platform};
-use crate::request::attempt::{Answer, AttemptOutcome, Bounds, Held, NotRunCause};
+use crate::request::attempt::{Answer, AttemptLimits, AttemptOutcome, Held, NotRunCause};
 use crate::request::batch::{Frame, Work};
 use crate::request::conversation::InFlight;
 use crate::request::principal::Principal;
@@ -95,7 +95,7 @@
     principal: Principal<'_>,
     work: &Work,
     frame: Frame,
-    bounds: Bounds,
+    bounds: AttemptLimits,
 ) -> Option<AttemptOutcome<P>> {
     let mut left: Vec<SocketAddr> = owners.addresses().to_vec();
     let mut held_off: Option<Duration> = None;
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -29,7 +29,7 @@
 use crate::pool::Lease;
 use crate::ports::Platform;
 use crate::request::attempt::{
-    self, Answer, AttemptOutcome, Bounds, ConnectionOf, Held, NotRunCause,
+    self, Answer, AttemptLimits, AttemptOutcome, ConnectionOf, Held, NotRunCause,
 };
 use crate::request::batch::{Frame, Work};
 use crate::request::principal::Principal;
@@ -211,7 +211,7 @@
         return ForwardOutcome::NotOwner;
     }
     let now = Instant::now();
-    let bounds = Bounds {
+    let bounds = AttemptLimits {
         urgency: Urgency {
             is_read: statement.is_read,
             priority: statement.priority,
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -26,9 +26,9 @@
 pub(crate) use exchange::run_on_own;
 pub(crate) use held::{ConnectionOf, Held, finish_own};
 
-/// Bounds of one try.
+/// AttemptLimits of one try.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bounds {
+pub(crate) struct AttemptLimits {
     /// Rank among those who wait for a connection.
     pub urgency: Urgency,
     /// Until when it may wait for one.
@@ -85,7 +85,7 @@
     principal: Principal<'_>,
     work: &Work,
     frame: Frame,
-    bounds: Bounds,
+    bounds: AttemptLimits,
 ) -> AttemptOutcome<P> {
     let now = Instant::now();
     gateway
@@ -128,7 +128,7 @@
     principal: Principal<'_>,
     work: &Work,
     frame: Frame,
-    bounds: Bounds,
+    bounds: AttemptLimits,
 ) -> AttemptOutcome<P> {
     if gateway.relays.bars(&instance.id, principal.regions) {
         return AttemptOutcome::NotRun(NotRunCause::Unreachable);
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -28,7 +28,7 @@
 use crate::gate::Urgency;
 use crate::gateway::Gateway;
 use crate::ports::{BackendErrorKind, BackendReply, Platform};
-use crate::request::attempt::{self, Answer, AttemptOutcome, Bounds, NotRunCause};
+use crate::request::attempt::{self, Answer, AttemptLimits, AttemptOutcome, NotRunCause};
 use crate::request::batch::{Frame, Work};
 use crate::request::marks::SessionMarks;
 use crate::request::principal::Principal;
@@ -128,7 +128,7 @@
     let mut pause = BUSY_PAUSE;
     loop {
         let primary = wait_for_primary(gateway, unit, reason).await?;
-        let bounds = Bounds {
+        let bounds = AttemptLimits {
             urgency: unit.urgency(Access::Write),
             connection_by: unit.wait_until(),
             answer_by: unit.answer_by(),
@@ -406,7 +406,7 @@
     instance: &Instance,
     is_last: bool,
     now: Instant,
-) -> Bounds {
+) -> AttemptLimits {
     let usual = gateway
         .beliefs
         .inspect(&instance.id, |health| health.latency())
@@ -418,7 +418,7 @@
     } else {
         (now + IMPATIENT_WAIT, unit.answer_by().min(now + attempt))
     };
-    Bounds {
+    AttemptLimits {
         urgency: unit.urgency(Access::Read),
         connection_by,
         answer_by,
