--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -37,7 +37,7 @@
 use crate::gateway::Gateway;
 use crate::owners::{InstanceOwners, PermittedOwners};
 use crate::ports::{BackendErrorKind, Platform};
-use crate::request::attempt::{Answer, AttemptLimits, AttemptOutcome, Held, NotRunCause};
+use crate::request::attempt::{Answer, AttemptLimits, AttemptOutcome, HeldConnection, NotRunCause};
 use crate::request::batch::{Frame, Work};
 use crate::request::conversation::InFlight;
 use crate::request::principal::Principal;
@@ -270,7 +270,7 @@
                 AttemptOutcome::Answered(Answer {
                     reply,
                     begin: begin.map(|begin| (sent_at, translate::reply_from(begin))),
-                    held: Held::Lent(lent),
+                    held: HeldConnection::Lent(lent),
                     sent_at,
                 })
             }
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -29,7 +29,7 @@
 use crate::pool::Lease;
 use crate::ports::Platform;
 use crate::request::attempt::{
-    self, Answer, AttemptLimits, AttemptOutcome, ConnectionOf, Held, NotRunCause,
+    self, Answer, AttemptLimits, AttemptOutcome, ConnectionOf, HeldConnection, NotRunCause,
 };
 use crate::request::batch::{Frame, Work};
 use crate::request::principal::Principal;
@@ -346,7 +346,7 @@
     fn keep(&self, number: u64, answer: Answer<P>) -> ForwardOutcome {
         let (reply, begin) = replies(&answer);
         let status = answer.reply.status;
-        let Held::Own(lease) = answer.held else {
+        let HeldConnection::Own(lease) = answer.held else {
             unreachable!("a node runs others' statements on connections of its own");
         };
         let is_lent = status == TransactionStatus::Open && self.is_wanted(number);
--- a/crates/linkhold-gateway/src/request/attempt/ending.rs
+++ b/crates/linkhold-gateway/src/request/attempt/ending.rs
@@ -5,7 +5,7 @@
 use linkhold_core::service::instance::Instance;
 use linkhold_core::service::session::TransactionStatus;
 
-use super::{Answer, AttemptOutcome, BeginReply, ConnectionOf, Held, NotRunCause};
+use super::{Answer, AttemptOutcome, BeginReply, ConnectionOf, HeldConnection, NotRunCause};
 use crate::gateway::Gateway;
 use crate::pool::{CheckoutError, Lease};
 use crate::ports::{BackendErrorKind, BackendReply, ConnectError, ExchangeError, Platform};
@@ -47,7 +47,7 @@
     AttemptOutcome::Answered(Answer {
         reply,
         begin,
-        held: Held::Own(lease),
+        held: HeldConnection::Own(lease),
         sent_at,
     })
 }
--- a/crates/linkhold-gateway/src/request/attempt/held.rs
+++ b/crates/linkhold-gateway/src/request/attempt/held.rs
@@ -16,14 +16,14 @@
 pub(crate) type ConnectionOf<P> = <P as BackendConnector>::Connection;
 
 /// A connection that is held for a session.
-pub(crate) enum Held<P: Platform> {
+pub(crate) enum HeldConnection<P: Platform> {
     /// One of this node's own.
     Own(Lease<ConnectionOf<P>>),
     /// One that an owner holds for this node.
     Lent(LentConnection),
 }
 
-impl<P: Platform> Held<P> {
+impl<P: Platform> HeldConnection<P> {
     /// The instance it leads to.
     pub fn instance(&self) -> &Arc<Instance> {
         match self {
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -24,7 +24,7 @@
 
 pub(crate) use ending::of_checkout;
 pub(crate) use exchange::run_on_own;
-pub(crate) use held::{ConnectionOf, Held, finish_own};
+pub(crate) use held::{ConnectionOf, HeldConnection, finish_own};
 
 /// AttemptLimits of one try.
 #[derive(Clone, Copy, Debug)]
@@ -57,7 +57,7 @@
     pub reply: BackendReply,
     /// The start of the transaction, if there was one.
     pub begin: Option<BeginReply>,
-    pub held: Held<P>,
+    pub held: HeldConnection<P>,
     /// When the batch was sent, measured before.
     pub sent_at: Instant,
 }
@@ -164,7 +164,7 @@
 /// Runs `work` in the transaction of a connection that is held.
 pub(crate) async fn run_on<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    held: Held<P>,
+    held: HeldConnection<P>,
     principal: Principal<'_>,
     work: &Work,
     answer_by: Instant,
@@ -178,7 +178,7 @@
     }
     let instance = held.instance().clone();
     let attempt = match held {
-        Held::Own(lease) => {
+        HeldConnection::Own(lease) => {
             let opened_at = lease.opened_at();
             gateway
                 .wait_for_warm_up(lease.instance(), opened_at, answer_by)
@@ -186,7 +186,9 @@
             let _pass = lease.gate().enter_at_once();
             run_on_own(gateway, lease, principal, work, frame, answer_by).await
         }
-        Held::Lent(lent) => forward::run_on(gateway, lent, principal, work, answer_by).await,
+        HeldConnection::Lent(lent) => {
+            forward::run_on(gateway, lent, principal, work, answer_by).await
+        }
     };
     acknowledged(gateway, &instance, work, frame, attempt)
 }
--- a/crates/linkhold-gateway/src/request/transaction.rs
+++ b/crates/linkhold-gateway/src/request/transaction.rs
@@ -24,7 +24,7 @@
 use crate::gateway::Gateway;
 use crate::pool::Lease;
 use crate::ports::{BackendConnection, BackendErrorKind, BackendReply, Command, Platform};
-use crate::request::attempt::{self, Answer, AttemptOutcome, Held, NotRunCause};
+use crate::request::attempt::{self, Answer, AttemptOutcome, HeldConnection, NotRunCause};
 use crate::request::batch::Work;
 use crate::request::principal::Principal;
 
@@ -35,7 +35,7 @@
 pub(crate) struct OpenTransaction<P: Platform> {
     /// What its caller could do when it was opened.
     pub admitted: Admitted,
-    held: Held<P>,
+    held: HeldConnection<P>,
     wrote: bool,
 }
 
@@ -48,7 +48,7 @@
 
 impl<P: Platform> OpenTransaction<P> {
     /// Takes over the connection on which the first statement was answered.
-    pub fn new(admitted: Admitted, held: Held<P>, access: Access) -> Self {
+    pub fn new(admitted: Admitted, held: HeldConnection<P>, access: Access) -> Self {
         Self {
             admitted,
             held,
@@ -132,10 +132,10 @@
     /// Rolls back without anybody waiting for it.
     pub fn abandon(self) {
         match self.held {
-            Held::Own(lease) => {
+            HeldConnection::Own(lease) => {
                 tokio::spawn(roll_back(lease));
             }
-            Held::Lent(lent) => lent.release(),
+            HeldConnection::Lent(lent) => lent.release(),
         }
     }
 }
