--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -38,7 +38,7 @@
 use crate::owners::{InstanceOwners, PermittedOwners};
 use crate::ports::{BackendErrorKind, Platform};
 use crate::request::attempt::{Answer, AttemptLimits, AttemptOutcome, HeldConnection, NotRunCause};
-use crate::request::batch::{Frame, Work};
+use crate::request::batch::{TransactionFrame, Work};
 use crate::request::conversation::InFlight;
 use crate::request::principal::Principal;
 
@@ -94,7 +94,7 @@
     instance: &Arc<Instance>,
     principal: Principal<'_>,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
     bounds: AttemptLimits,
 ) -> Option<AttemptOutcome<P>> {
     let mut left: Vec<SocketAddr> = owners.addresses().to_vec();
@@ -131,7 +131,8 @@
             work,
         };
         // Nothing of these can be kept by an owner that is lost.
-        let repeatable = work.access() == Access::Read || matches!(frame, Frame::Opening { .. });
+        let repeatable =
+            work.access() == Access::Read || matches!(frame, TransactionFrame::Begin { .. });
         match call.run(statement, bounds.answer_by, repeatable).await {
             // Another owner may know that the instance is warm, or have room.
             Ended::AttemptOutcome(AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))) => {
@@ -159,7 +160,7 @@
         instance: lent.instance.id.0.to_string(),
         values: translate::values(principal.values),
         work: translate::work(work),
-        frame: translate::frame(Frame::Inside),
+        frame: translate::frame(TransactionFrame::InTransaction),
         is_read: false,
         priority: 0,
         connection_within_ms: 0,
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -31,7 +31,7 @@
 use crate::request::attempt::{
     self, Answer, AttemptLimits, AttemptOutcome, ConnectionOf, HeldConnection, NotRunCause,
 };
-use crate::request::batch::{Frame, Work};
+use crate::request::batch::{TransactionFrame, Work};
 use crate::request::principal::Principal;
 use crate::request::transaction::roll_back;
 
@@ -226,7 +226,7 @@
         values: &session_values(statement),
         regions: &AllowedRegions::listed(&statement.regions),
     };
-    let opens = matches!(frame, Frame::Opening { .. });
+    let opens = matches!(frame, TransactionFrame::Begin { .. });
     let attempt = attempt::run_here(gateway, &instance, principal, &work, frame, bounds).await;
     match attempt {
         AttemptOutcome::Answered(answer) if opens => lent.keep(statement.number, answer),
@@ -261,7 +261,7 @@
         return ForwardOutcome::Unreachable;
     };
     let answer_by = Instant::now() + Duration::from_millis(statement.answer_within_ms);
-    let frame = Frame::Inside;
+    let frame = TransactionFrame::InTransaction;
     let work: Work = translate::work_from(&statement.work);
     let principal = Principal {
         holder: &lease.holder().clone(),
--- a/crates/linkhold-gateway/src/forward/translate.rs
+++ b/crates/linkhold-gateway/src/forward/translate.rs
@@ -12,7 +12,7 @@
 use minicbor::bytes::ByteVec;
 
 use crate::ports::{BackendErrorKind, BackendOutcome, BackendReply};
-use crate::request::batch::{Frame, Work};
+use crate::request::batch::{TransactionFrame, Work};
 
 fn pack(bytes: &Bytes) -> ByteVec {
     bytes.to_vec().into()
@@ -131,31 +131,31 @@
     }
 }
 
-pub(super) fn frame(frame: Frame) -> ForwardFrame {
+pub(super) fn frame(frame: TransactionFrame) -> ForwardFrame {
     match frame {
         // The owner knows by the connection that it lent.
-        Frame::Inside => ForwardFrame::Bare { fence: None },
-        Frame::Bare { fence } => ForwardFrame::Bare {
+        TransactionFrame::InTransaction => ForwardFrame::Bare { fence: None },
+        TransactionFrame::Autocommit { fence } => ForwardFrame::Bare {
             fence: fence.map(position),
         },
-        Frame::Opening { read_only, fence } => ForwardFrame::Opening {
+        TransactionFrame::Begin { read_only, fence } => ForwardFrame::Opening {
             read_only,
             fence: fence.map(position),
         },
-        Frame::ProvingPrimary => ForwardFrame::ProvingPrimary,
+        TransactionFrame::ProvingPrimary => ForwardFrame::ProvingPrimary,
     }
 }
 
-pub(super) fn frame_from(frame: ForwardFrame) -> Frame {
+pub(super) fn frame_from(frame: ForwardFrame) -> TransactionFrame {
     match frame {
-        ForwardFrame::Bare { fence } => Frame::Bare {
+        ForwardFrame::Bare { fence } => TransactionFrame::Autocommit {
             fence: fence.map(position_from),
         },
-        ForwardFrame::Opening { read_only, fence } => Frame::Opening {
+        ForwardFrame::Opening { read_only, fence } => TransactionFrame::Begin {
             read_only,
             fence: fence.map(position_from),
         },
-        ForwardFrame::ProvingPrimary => Frame::ProvingPrimary,
+        ForwardFrame::ProvingPrimary => TransactionFrame::ProvingPrimary,
     }
 }
 
--- a/crates/linkhold-gateway/src/request/attempt/exchange.rs
+++ b/crates/linkhold-gateway/src/request/attempt/exchange.rs
@@ -12,7 +12,7 @@
 use crate::gateway::Gateway;
 use crate::pool::Lease;
 use crate::ports::{BackendConnection, BackendErrorKind, Platform};
-use crate::request::batch::{self, Batch, Frame, Work};
+use crate::request::batch::{self, Batch, TransactionFrame, Work};
 use crate::request::conversation::{Conversation, converse};
 use crate::request::primary_answer::{may_tell, speaks_for_primary};
 use crate::request::principal::Principal;
@@ -25,7 +25,7 @@
     mut lease: Lease<ConnectionOf<P>>,
     principal: Principal<'_>,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
     answer_by: Instant,
 ) -> AttemptOutcome<P> {
     if is_withheld(gateway, &lease) {
@@ -49,7 +49,7 @@
     if let Err(reason) = may_send(gateway, &lease, principal) {
         return ineligible(work, &lease, reason);
     }
-    let is_urgent = work.may_commit() || frame == Frame::Inside;
+    let is_urgent = work.may_commit() || frame == TransactionFrame::InTransaction;
     if let Err(after) = gateway.admit_to_instance(lease.instance(), opened_at, is_urgent) {
         return held_off(lease, frame, after);
     }
@@ -84,7 +84,7 @@
             }
         }
         Conversation::Answered(replies) => {
-            if frame == Frame::ProvingPrimary {
+            if frame == TransactionFrame::ProvingPrimary {
                 begin = Some((sent_at, replies[0].clone()));
             }
             answered(gateway, lease, &replies, batch.main, begin, sent_at)
@@ -158,17 +158,17 @@
 /// connection is undone.
 fn held_off<P: Platform>(
     mut lease: Lease<ConnectionOf<P>>,
-    frame: Frame,
+    frame: TransactionFrame,
     after: Duration,
 ) -> AttemptOutcome<P> {
     match frame {
         // Its transaction ends with the connection.
-        Frame::Inside => drop(lease),
-        Frame::Opening { .. } => {
+        TransactionFrame::InTransaction => drop(lease),
+        TransactionFrame::Begin { .. } => {
             lease.pooled().needs_rollback = true;
             lease.release();
         }
-        Frame::Bare { .. } | Frame::ProvingPrimary => lease.release(),
+        TransactionFrame::Autocommit { .. } | TransactionFrame::ProvingPrimary => lease.release(),
     }
     AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
 }
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -18,7 +18,7 @@
 use crate::gate::Urgency;
 use crate::gateway::Gateway;
 use crate::ports::{BackendErrorKind, BackendReply, Platform};
-use crate::request::batch::{Frame, Work};
+use crate::request::batch::{TransactionFrame, Work};
 use crate::request::primary_answer::{acknowledged, speaks_for_primary};
 use crate::request::principal::Principal;
 
@@ -84,7 +84,7 @@
     instance: &Arc<Instance>,
     principal: Principal<'_>,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
     bounds: AttemptLimits,
 ) -> AttemptOutcome<P> {
     let now = Instant::now();
@@ -114,7 +114,7 @@
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
     attempt: &AttemptOutcome<P>,
 ) -> bool {
     let is_answered = matches!(attempt, AttemptOutcome::Answered(_));
@@ -127,7 +127,7 @@
     instance: &Arc<Instance>,
     principal: Principal<'_>,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
     bounds: AttemptLimits,
 ) -> AttemptOutcome<P> {
     if gateway.relays.bars(&instance.id, principal.regions) {
@@ -169,7 +169,7 @@
     work: &Work,
     answer_by: Instant,
 ) -> AttemptOutcome<P> {
-    let frame = Frame::Inside;
+    let frame = TransactionFrame::InTransaction;
     let needs_permission = speaks_for_primary(gateway, held.instance(), work, frame);
     if needs_permission && gateway.beliefs.is_replaced(held.instance()) {
         // The connection is closed with it, which undoes what is open on it.
--- a/crates/linkhold-gateway/src/request/batch.rs
+++ b/crates/linkhold-gateway/src/request/batch.rs
@@ -61,16 +61,16 @@
 
 /// What stands around a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Frame {
+pub(crate) enum TransactionFrame {
     /// The transaction that is open on the connection.
-    Inside,
+    InTransaction,
     /// Nothing: it runs alone.
-    Bare {
+    Autocommit {
         /// Position the instance must have.
         fence: Option<Position>,
     },
     /// It opens a transaction.
-    Opening {
+    Begin {
         /// A replica may run it.
         read_only: bool,
         /// Position the instance must have.
@@ -100,7 +100,7 @@
     pooled: &mut Pooled<C>,
     values: &SessionValues,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
 ) -> Batch {
     let mut setup = Vec::new();
     if std::mem::take(&mut pooled.needs_rollback) {
@@ -115,14 +115,16 @@
         main: 0,
     };
     match frame {
-        Frame::Inside => batch.commands.push(statement(work, number, None)),
-        Frame::Bare { fence } => batch.commands.push(statement(work, number, fence)),
-        Frame::Opening { read_only, fence } => {
+        TransactionFrame::InTransaction => batch.commands.push(statement(work, number, None)),
+        TransactionFrame::Autocommit { fence } => {
+            batch.commands.push(statement(work, number, fence))
+        }
+        TransactionFrame::Begin { read_only, fence } => {
             batch.setup.push(Command::Begin { read_only, fence });
             batch.opens = true;
             batch.commands.push(statement(work, number, None));
         }
-        Frame::ProvingPrimary => {
+        TransactionFrame::ProvingPrimary => {
             batch.commands.push(Command::Begin {
                 read_only: false,
                 fence: None,
--- a/crates/linkhold-gateway/src/request/primary_answer.rs
+++ b/crates/linkhold-gateway/src/request/primary_answer.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::ports::{BackendReply, Platform};
 use crate::request::attempt::AttemptOutcome;
-use crate::request::batch::{Frame, Work};
+use crate::request::batch::{TransactionFrame, Work};
 
 /// Whether what an instance answered as a primary may be told: its log ends in no older
 /// term than is known and not before `proved`, up to which it was proved to reach when it
@@ -34,14 +34,16 @@
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
 ) -> bool {
     match frame {
-        Frame::ProvingPrimary | Frame::Bare { fence: None } => true,
-        Frame::Opening { read_only, .. } => !read_only,
-        Frame::Bare { fence: Some(_) } => false,
+        TransactionFrame::ProvingPrimary | TransactionFrame::Autocommit { fence: None } => true,
+        TransactionFrame::Begin { read_only, .. } => !read_only,
+        TransactionFrame::Autocommit { fence: Some(_) } => false,
         // On a replica nothing but reads can be open.
-        Frame::Inside => work.may_commit() && !gateway.beliefs.is_replica(instance),
+        TransactionFrame::InTransaction => {
+            work.may_commit() && !gateway.beliefs.is_replica(instance)
+        }
     }
 }
 
@@ -51,7 +53,7 @@
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
     attempt: AttemptOutcome<P>,
 ) -> AttemptOutcome<P> {
     let is_answered = matches!(attempt, AttemptOutcome::Answered(_));
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -29,7 +29,7 @@
 use crate::gateway::Gateway;
 use crate::ports::{BackendErrorKind, BackendReply, Platform};
 use crate::request::attempt::{self, Answer, AttemptLimits, AttemptOutcome, NotRunCause};
-use crate::request::batch::{Frame, Work};
+use crate::request::batch::{TransactionFrame, Work};
 use crate::request::marks::SessionMarks;
 use crate::request::principal::Principal;
 
@@ -175,11 +175,11 @@
     }
 }
 
-fn primary_frame(work: &Work, opening: Opening) -> Frame {
+fn primary_frame(work: &Work, opening: Opening) -> TransactionFrame {
     match (opening, work.access()) {
-        (Opening::Alone, Access::Write) => Frame::Bare { fence: None },
-        (Opening::Alone, Access::Read) => Frame::ProvingPrimary,
-        (Opening::Transaction | Opening::ReadOnlyTransaction, _) => Frame::Opening {
+        (Opening::Alone, Access::Write) => TransactionFrame::Autocommit { fence: None },
+        (Opening::Alone, Access::Read) => TransactionFrame::ProvingPrimary,
+        (Opening::Transaction | Opening::ReadOnlyTransaction, _) => TransactionFrame::Begin {
             read_only: false,
             fence: None,
         },
@@ -425,11 +425,11 @@
     }
 }
 
-fn read_frame(opening: Opening, fence: Position) -> Frame {
+fn read_frame(opening: Opening, fence: Position) -> TransactionFrame {
     let fence = Some(fence);
     match opening {
-        Opening::Alone => Frame::Bare { fence },
-        Opening::Transaction | Opening::ReadOnlyTransaction => Frame::Opening {
+        Opening::Alone => TransactionFrame::Autocommit { fence },
+        Opening::Transaction | Opening::ReadOnlyTransaction => TransactionFrame::Begin {
             read_only: true,
             fence,
         },
