--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -88,13 +88,13 @@
 
 /// What a statement opens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Opening {
+pub(crate) enum TransactionMode {
     /// Nothing: it is a transaction of its own.
-    Alone,
+    Autocommit,
     /// A transaction that may write.
-    Transaction,
+    ReadWrite,
     /// A transaction that only reads.
-    ReadOnlyTransaction,
+    ReadOnly,
 }
 
 /// Runs a statement that stands alone or opens a transaction.
@@ -103,15 +103,15 @@
     unit: &Unit<'_>,
     marks: &mut SessionMarks,
     work: &Work,
-    opening: Opening,
+    mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
     let needs_primary = unit.route.consistency == Consistency::Latest
-        || opening == Opening::Transaction
+        || mode == TransactionMode::ReadWrite
         || work.access() == Access::Write;
     if needs_primary {
-        run_on_primary(gateway, unit, work, opening).await
+        run_on_primary(gateway, unit, work, mode).await
     } else {
-        run_on_fresh(gateway, unit, marks, work, opening).await
+        run_on_fresh(gateway, unit, marks, work, mode).await
     }
 }
 
@@ -120,10 +120,10 @@
     gateway: &Arc<Gateway<P>>,
     unit: &Unit<'_>,
     work: &Work,
-    opening: Opening,
+    mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
-    let frame = primary_frame(work, opening);
-    let repeatable = work.access() == Access::Read && opening == Opening::Alone;
+    let frame = primary_frame(work, mode);
+    let repeatable = work.access() == Access::Read && mode == TransactionMode::Autocommit;
     let mut reason = NotRun::NoPrimary;
     let mut pause = BUSY_PAUSE;
     loop {
@@ -136,7 +136,7 @@
         let attempt = attempt::run(gateway, &primary, unit.principal(), work, frame, bounds).await;
         match attempt {
             AttemptOutcome::Answered(answer) => {
-                note_primary_answer(gateway, &primary, &answer, work, opening);
+                note_primary_answer(gateway, &primary, &answer, work, mode);
                 return Ok(answer);
             }
             AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
@@ -158,28 +158,30 @@
                 }
             }
             AttemptOutcome::Lost if repeatable => reason = NotRun::BackendUnavailable,
-            AttemptOutcome::Lost => return Err(lost(opening, Unknown::ConnectionLost)),
-            AttemptOutcome::TimedOut => return Err(lost(opening, Unknown::TimedOut)),
+            AttemptOutcome::Lost => return Err(lost(mode, Unknown::ConnectionLost)),
+            AttemptOutcome::TimedOut => return Err(lost(mode, Unknown::TimedOut)),
         }
     }
 }
 
 /// What is told when a statement was sent and no answer came. The first
 /// statement of a transaction is undone with its connection.
-fn lost(opening: Opening, unknown: Unknown) -> Failure {
-    match opening {
-        Opening::Alone => Failure::Unknown(unknown),
-        Opening::Transaction | Opening::ReadOnlyTransaction => {
+fn lost(mode: TransactionMode, unknown: Unknown) -> Failure {
+    match mode {
+        TransactionMode::Autocommit => Failure::Unknown(unknown),
+        TransactionMode::ReadWrite | TransactionMode::ReadOnly => {
             Failure::NotRun(NotRun::TransactionAborted)
         }
     }
 }
 
-fn primary_frame(work: &Work, opening: Opening) -> TransactionFrame {
-    match (opening, work.access()) {
-        (Opening::Alone, Access::Write) => TransactionFrame::Autocommit { fence: None },
-        (Opening::Alone, Access::Read) => TransactionFrame::ProvingPrimary,
-        (Opening::Transaction | Opening::ReadOnlyTransaction, _) => TransactionFrame::Begin {
+fn primary_frame(work: &Work, mode: TransactionMode) -> TransactionFrame {
+    match (mode, work.access()) {
+        (TransactionMode::Autocommit, Access::Write) => {
+            TransactionFrame::Autocommit { fence: None }
+        }
+        (TransactionMode::Autocommit, Access::Read) => TransactionFrame::ProvingPrimary,
+        (TransactionMode::ReadWrite | TransactionMode::ReadOnly, _) => TransactionFrame::Begin {
             read_only: false,
             fence: None,
         },
@@ -266,9 +268,9 @@
     primary: &Instance,
     answer: &Answer<P>,
     work: &Work,
-    opening: Opening,
+    mode: TransactionMode,
 ) {
-    let single_write = opening == Opening::Alone && work.access() == Access::Write;
+    let single_write = mode == TransactionMode::Autocommit && work.access() == Access::Write;
     let proof = match &answer.begin {
         Some((sent_at, begin)) => Some((*sent_at, begin)),
         None if single_write && is_success(&answer.reply) => Some((answer.sent_at, &answer.reply)),
@@ -287,7 +289,7 @@
     unit: &Unit<'_>,
     marks: &mut SessionMarks,
     work: &Work,
-    opening: Opening,
+    mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
     let mut excluded: Vec<InstanceId> = Vec::new();
     let mut reason = NotRun::NoFreshInstance;
@@ -316,7 +318,7 @@
             continue;
         };
         let bounds = read_bounds(gateway, unit, &instance, is_last, now);
-        let frame = read_frame(opening, fence);
+        let frame = read_frame(mode, fence);
         let attempt = attempt::run(gateway, &instance, unit.principal(), work, frame, bounds).await;
         match attempt {
             AttemptOutcome::Answered(answer) => {
@@ -333,7 +335,9 @@
                     beliefs.observe(&instance.id, |health| health.was_busy(now, after));
                 }
             }
-            AttemptOutcome::Lost | AttemptOutcome::TimedOut if opening != Opening::Alone => {
+            AttemptOutcome::Lost | AttemptOutcome::TimedOut
+                if mode != TransactionMode::Autocommit =>
+            {
                 return Err(Failure::NotRun(NotRun::TransactionAborted));
             }
             AttemptOutcome::Lost => reason = NotRun::BackendUnavailable,
@@ -425,11 +429,11 @@
     }
 }
 
-fn read_frame(opening: Opening, fence: Position) -> TransactionFrame {
+fn read_frame(mode: TransactionMode, fence: Position) -> TransactionFrame {
     let fence = Some(fence);
-    match opening {
-        Opening::Alone => TransactionFrame::Autocommit { fence },
-        Opening::Transaction | Opening::ReadOnlyTransaction => TransactionFrame::Begin {
+    match mode {
+        TransactionMode::Autocommit => TransactionFrame::Autocommit { fence },
+        TransactionMode::ReadWrite | TransactionMode::ReadOnly => TransactionFrame::Begin {
             read_only: true,
             fence,
         },
--- a/crates/linkhold-gateway/src/session/operations.rs
+++ b/crates/linkhold-gateway/src/session/operations.rs
@@ -16,7 +16,7 @@
 };
 use crate::request::attempt::Answer;
 use crate::request::batch::Work;
-use crate::request::statement::{self, Opening, Unit, is_success};
+use crate::request::statement::{self, TransactionMode, Unit, is_success};
 use crate::request::transaction::{OpenTransaction, finish_alone};
 
 impl<P: Platform, C: CallerConnection> Session<P, C> {
@@ -186,8 +186,8 @@
             session: &self.state,
             received_at,
         };
-        let opening = Opening::Alone;
-        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, opening).await;
+        let mode = TransactionMode::Autocommit;
+        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, mode).await;
         let answer = self.settle_budget(&holder, ran)?;
         let reply = finish_alone(answer);
         if work.access() == Access::Write
@@ -220,12 +220,12 @@
             session: &self.state,
             received_at: received_at.max(begun_at),
         };
-        let opening = if read_only {
-            Opening::ReadOnlyTransaction
+        let mode = if read_only {
+            TransactionMode::ReadOnly
         } else {
-            Opening::Transaction
+            TransactionMode::ReadWrite
         };
-        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, opening).await;
+        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, mode).await;
         let answer = self.settle_budget(&admitted.holder, ran)?;
         let reply = answer.reply.clone();
         let open = OpenTransaction::new(admitted, answer.held, work.access());
@@ -379,12 +379,12 @@
             session: &self.state,
             received_at,
         };
-        let opening = if read_only {
-            Opening::ReadOnlyTransaction
+        let mode = if read_only {
+            TransactionMode::ReadOnly
         } else {
-            Opening::Transaction
+            TransactionMode::ReadWrite
         };
-        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, opening).await;
+        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, mode).await;
         let answer = self.settle_budget(&admitted.holder, ran)?;
         Ok(finish_alone(answer))
     }
