--- a/crates/linkhold-gateway/src/evidence/lead_proof.rs
+++ b/crates/linkhold-gateway/src/evidence/lead_proof.rs
@@ -17,7 +17,7 @@
 use crate::gateway::Gateway;
 use crate::pool::CheckoutError;
 use crate::ports::{BackendErrorKind, Platform};
-use crate::request::attempt::{NotRunCause, of_checkout};
+use crate::request::attempt::{NotRunCause, checkout_failure_cause};
 use crate::state::SilentRound;
 
 /// Makes sure that `primary` leads, unless that is proved; an error tells why nothing may be
@@ -108,7 +108,7 @@
         }
         Ok(_) => NotRunCause::Refused(BackendErrorKind::Busy),
         Err(error) => {
-            let cause = of_checkout(gateway, primary, CheckoutError::Connect(error));
+            let cause = checkout_failure_cause(gateway, primary, CheckoutError::Connect(error));
             if cause == NotRunCause::Unreachable {
                 gateway.instance_failed(primary, "unreachable");
             }
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -227,7 +227,7 @@
         regions: &AllowedRegions::listed(&statement.regions),
     };
     let opens = matches!(frame, TransactionFrame::Begin { .. });
-    let attempt = attempt::run_here(gateway, &instance, principal, &work, frame, bounds).await;
+    let attempt = attempt::run_locally(gateway, &instance, principal, &work, frame, bounds).await;
     match attempt {
         AttemptOutcome::Answered(answer) if opens => lent.keep(statement.number, answer),
         AttemptOutcome::Answered(answer) => {
@@ -273,7 +273,7 @@
         .wait_for_warm_up(lease.instance(), opened_at, answer_by)
         .await;
     let _pass = lease.gate().enter_at_once();
-    let attempt = attempt::run_on_own(gateway, lease, principal, &work, frame, answer_by).await;
+    let attempt = attempt::run_on_lease(gateway, lease, principal, &work, frame, answer_by).await;
     match attempt {
         AttemptOutcome::Answered(answer) => lent.keep(opened_by, answer),
         failed => failure(failed),
@@ -429,7 +429,7 @@
 /// Gives a connection back; what is open on it is rolled back first.
 fn give_back<C: crate::ports::BackendConnection>(lease: Lease<C>, status: TransactionStatus) {
     if status == TransactionStatus::Idle {
-        attempt::finish_own(lease, status);
+        attempt::finish_lease(lease, status);
     } else {
         tokio::spawn(roll_back(lease));
     }
--- a/crates/linkhold-gateway/src/request/attempt/ending.rs
+++ b/crates/linkhold-gateway/src/request/attempt/ending.rs
@@ -12,7 +12,7 @@
 
 /// Why no connection was had. An instance that has none left lives: nobody is to
 /// look whether it is lost, which would take yet more of its connections.
-pub(crate) fn of_checkout<P: Platform>(
+pub(crate) fn checkout_failure_cause<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     error: CheckoutError,
--- a/crates/linkhold-gateway/src/request/attempt/exchange.rs
+++ b/crates/linkhold-gateway/src/request/attempt/exchange.rs
@@ -20,7 +20,7 @@
 /// Runs `work` on a connection of this node's own that is held. Whatever a caller
 /// asks is sent to an instance here and nowhere else, so this is where it is looked
 /// once more whether it may be.
-pub(crate) async fn run_on_own<P: Platform>(
+pub(crate) async fn run_on_lease<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     mut lease: Lease<ConnectionOf<P>>,
     principal: Principal<'_>,
--- a/crates/linkhold-gateway/src/request/attempt/held.rs
+++ b/crates/linkhold-gateway/src/request/attempt/held.rs
@@ -52,7 +52,7 @@
     /// back before its next use.
     pub fn finish(self, status: TransactionStatus) {
         match self {
-            Self::Own(lease) => finish_own(lease, status),
+            Self::Own(lease) => finish_lease(lease, status),
             Self::Lent(lent) => lent.release(),
         }
     }
@@ -60,7 +60,7 @@
 
 /// Gives a connection of this node's own back, noting what its next user must
 /// undo first.
-pub(crate) fn finish_own<C: BackendConnection>(mut lease: Lease<C>, status: TransactionStatus) {
+pub(crate) fn finish_lease<C: BackendConnection>(mut lease: Lease<C>, status: TransactionStatus) {
     if batch::is_worn(lease.pooled()) {
         return;
     }
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -22,9 +22,9 @@
 use crate::request::primary_answer::{acknowledged, speaks_for_primary};
 use crate::request::principal::Principal;
 
-pub(crate) use ending::of_checkout;
-pub(crate) use exchange::run_on_own;
-pub(crate) use held::{ConnectionOf, HeldConnection, finish_own};
+pub(crate) use ending::checkout_failure_cause;
+pub(crate) use exchange::run_on_lease;
+pub(crate) use held::{ConnectionOf, HeldConnection, finish_lease};
 
 /// AttemptLimits of one try.
 #[derive(Clone, Copy, Debug)]
@@ -105,7 +105,7 @@
             return acknowledged(gateway, instance, work, frame, attempt);
         }
     }
-    let attempt = run_here(gateway, instance, principal, work, frame, bounds).await;
+    let attempt = run_locally(gateway, instance, principal, work, frame, bounds).await;
     acknowledged(gateway, instance, work, frame, attempt)
 }
 
@@ -122,7 +122,7 @@
 }
 
 /// Runs `work` on a connection of this node's own.
-pub(crate) async fn run_here<P: Platform>(
+pub(crate) async fn run_locally<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     instance: &Arc<Instance>,
     principal: Principal<'_>,
@@ -156,9 +156,11 @@
         .await;
     let lease = match checkout {
         Ok(lease) => lease,
-        Err(error) => return AttemptOutcome::NotRun(ending::of_checkout(gateway, instance, error)),
+        Err(error) => {
+            return AttemptOutcome::NotRun(ending::checkout_failure_cause(gateway, instance, error));
+        }
     };
-    run_on_own(gateway, lease, principal, work, frame, bounds.answer_by).await
+    run_on_lease(gateway, lease, principal, work, frame, bounds.answer_by).await
 }
 
 /// Runs `work` in the transaction of a connection that is held.
@@ -184,7 +186,7 @@
                 .wait_for_warm_up(lease.instance(), opened_at, answer_by)
                 .await;
             let _pass = lease.gate().enter_at_once();
-            run_on_own(gateway, lease, principal, work, frame, answer_by).await
+            run_on_lease(gateway, lease, principal, work, frame, answer_by).await
         }
         HeldConnection::Lent(lent) => {
             forward::run_on(gateway, lent, principal, work, answer_by).await
--- a/crates/linkhold-gateway/src/request/transaction.rs
+++ b/crates/linkhold-gateway/src/request/transaction.rs
@@ -152,7 +152,7 @@
 pub(crate) async fn roll_back<C: BackendConnection>(mut lease: Lease<C>) {
     let exchange = lease.pooled().connection.exchange(&[Command::Rollback]);
     if let Ok(Ok(replies)) = timeout(ROLLBACK_TIMEOUT, exchange).await {
-        attempt::finish_own(lease, replies[0].status);
+        attempt::finish_lease(lease, replies[0].status);
     }
 }
 
