--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -39,7 +39,7 @@
 use crate::ports::{BackendErrorKind, Platform};
 use crate::request::attempt::{Answer, AttemptLimits, AttemptOutcome, HeldConnection, NotRunCause};
 use crate::request::batch::{TransactionFrame, Work};
-use crate::request::conversation::InFlight;
+use crate::request::exchange::InFlight;
 use crate::request::principal::Principal;
 
 use link::{CallFailure, Link};
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -1,11 +1,11 @@
 //! One try of a statement on one instance.
 //!
-//! Here it is chosen on whose connection it goes; [`exchange`] sends it on one of this
-//! node's own, and [`ending`] says what came of it.
+//! Here it is chosen on whose connection it goes; [`own_connection`] sends it on one of this
+//! node's own, and [`outcome`] says what came of it.
 
-mod ending;
-mod exchange;
 mod held;
+mod outcome;
+mod own_connection;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,9 +22,9 @@
 use crate::request::primary_answer::{acknowledged, speaks_for_primary};
 use crate::request::principal::Principal;
 
-pub(crate) use ending::checkout_failure_cause;
-pub(crate) use exchange::run_on_lease;
 pub(crate) use held::{ConnectionOf, HeldConnection, finish_lease};
+pub(crate) use outcome::checkout_failure_cause;
+pub(crate) use own_connection::run_on_lease;
 
 /// AttemptLimits of one try.
 #[derive(Clone, Copy, Debug)]
@@ -157,7 +157,9 @@
     let lease = match checkout {
         Ok(lease) => lease,
         Err(error) => {
-            return AttemptOutcome::NotRun(ending::checkout_failure_cause(gateway, instance, error));
+            return AttemptOutcome::NotRun(outcome::checkout_failure_cause(
+                gateway, instance, error,
+            ));
         }
     };
     run_on_lease(gateway, lease, principal, work, frame, bounds.answer_by).await
--- a/crates/linkhold-gateway/src/request/attempt/exchange.rs
+++ b/crates/linkhold-gateway/src/request/attempt/own_connection.rs
@@ -7,13 +7,13 @@
 use linkhold_core::service::session::TransactionStatus;
 use linkhold_events::Event;
 
-use super::ending::{answered, broken};
+use super::outcome::{answered, broken};
 use super::{AttemptOutcome, BeginReply, ConnectionOf, NotRunCause};
 use crate::gateway::Gateway;
 use crate::pool::Lease;
 use crate::ports::{BackendConnection, BackendErrorKind, Platform};
 use crate::request::batch::{self, Batch, TransactionFrame, Work};
-use crate::request::conversation::{Conversation, converse};
+use crate::request::exchange::{ExchangeOutcome, exchange_commands};
 use crate::request::primary_answer::{may_tell, speaks_for_primary};
 use crate::request::principal::Principal;
 
@@ -62,16 +62,16 @@
     }
     let service = &lease.instance().service;
     let proved = needs_permission.then(|| gateway.beliefs.newest_position(service));
-    match converse(gateway, &mut lease, &batch.commands, answer_by).await {
-        Conversation::Silent => {
+    match exchange_commands(gateway, &mut lease, &batch.commands, answer_by).await {
+        ExchangeOutcome::Silent => {
             log_unanswered(work, &lease, sent_at, "silent");
             AttemptOutcome::TimedOut
         }
-        Conversation::Broken(error) => {
+        ExchangeOutcome::Broken(error) => {
             log_unanswered(work, &lease, sent_at, "connection_lost");
             broken(lease, &error, batch.main)
         }
-        Conversation::Answered(replies)
+        ExchangeOutcome::Answered(replies)
             if needs_permission
                 && !may_tell(gateway, lease.instance(), work, &replies, proved.flatten()) =>
         {
@@ -83,7 +83,7 @@
                 AttemptOutcome::NotRun(NotRunCause::Refused(BackendErrorKind::ReadOnly))
             }
         }
-        Conversation::Answered(replies) => {
+        ExchangeOutcome::Answered(replies) => {
             if frame == TransactionFrame::ProvingPrimary {
                 begin = Some((sent_at, replies[0].clone()));
             }
@@ -101,9 +101,9 @@
     answer_by: Instant,
 ) -> Result<(Lease<ConnectionOf<P>>, Option<BeginReply>), AttemptOutcome<P>> {
     let sent_at = Instant::now();
-    let replies = match converse(gateway, &mut lease, &batch.setup, answer_by).await {
-        Conversation::Answered(replies) => replies,
-        Conversation::Broken(_) | Conversation::Silent => {
+    let replies = match exchange_commands(gateway, &mut lease, &batch.setup, answer_by).await {
+        ExchangeOutcome::Answered(replies) => replies,
+        ExchangeOutcome::Broken(_) | ExchangeOutcome::Silent => {
             return Err(AttemptOutcome::NotRun(NotRunCause::Unreachable));
         }
     };
--- a/crates/linkhold-gateway/src/request/conversation.rs
+++ b/crates/linkhold-gateway/src/request/exchange.rs
@@ -18,7 +18,7 @@
 const SILENCE_LATENCIES: u32 = 6;
 
 /// How an exchange of commands and replies ended.
-pub(crate) enum Conversation {
+pub(crate) enum ExchangeOutcome {
     /// A reply to each command.
     Answered(Vec<BackendReply>),
     /// The connection broke.
@@ -28,31 +28,31 @@
 }
 
 /// Exchanges commands and replies and notes what that tells of the instance.
-pub(crate) async fn converse<P: Platform>(
+pub(crate) async fn exchange_commands<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     lease: &mut Lease<ConnectionOf<P>>,
     commands: &[Command],
     answer_by: Instant,
-) -> Conversation {
+) -> ExchangeOutcome {
     let instance = lease.instance().clone();
     let sent_at = Instant::now();
     let in_flight = InFlight::start(gateway, &instance);
-    let exchanged = exchange(gateway, lease, commands, sent_at, answer_by).await;
+    let exchanged = send_and_wait(gateway, lease, commands, sent_at, answer_by).await;
     drop(in_flight);
     match exchanged {
         None => {
             lease.suspect_elders(sent_at.into());
             gateway.instance_silent(&instance, sent_at);
-            Conversation::Silent
+            ExchangeOutcome::Silent
         }
         Some(Err(error)) => {
             gateway.connection_lost(&instance);
-            Conversation::Broken(error)
+            ExchangeOutcome::Broken(error)
         }
         Some(Ok(replies)) => {
             let position = replies.last().and_then(|reply| reply.position);
             gateway.instance_answered(&instance.id, sent_at.elapsed(), position);
-            Conversation::Answered(replies)
+            ExchangeOutcome::Answered(replies)
         }
     }
 }
@@ -84,7 +84,7 @@
 }
 
 /// Sends commands and waits; has the instance looked at when it is silent.
-async fn exchange<P: Platform>(
+async fn send_and_wait<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     lease: &mut Lease<ConnectionOf<P>>,
     commands: &[Command],
