--- a/crates/linkhold-gateway/src/request/marks.rs
+++ b/crates/linkhold-gateway/src/request/session_positions.rs
@@ -8,13 +8,13 @@
 
 /// Positions a session's reads must have reached.
 #[derive(Debug)]
-pub(crate) struct SessionMarks {
+pub(crate) struct SessionPositions {
     /// When the session began; its user may have written elsewhere before.
     pub opened_at: Instant,
     required: HashMap<ServiceName, Position>,
 }
 
-impl SessionMarks {
+impl SessionPositions {
     pub fn new(opened_at: Instant) -> Self {
         Self {
             opened_at,
@@ -29,12 +29,12 @@
     }
 
     /// The first position that covers everything from before the session.
-    pub fn reached(&mut self, service: &ServiceName, position: Position) {
+    pub fn record_baseline(&mut self, service: &ServiceName, position: Position) {
         self.required.entry(service.clone()).or_insert(position);
     }
 
     /// The session committed.
-    pub fn committed(&mut self, service: &ServiceName, position: Position) {
+    pub fn record_commit(&mut self, service: &ServiceName, position: Position) {
         if let Some(required) = self.required.get_mut(service) {
             *required = position.max(*required);
         } else {
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -30,8 +30,8 @@
 use crate::ports::{BackendErrorKind, BackendReply, Platform};
 use crate::request::attempt::{self, Answer, AttemptLimits, AttemptOutcome, NotRunCause};
 use crate::request::batch::{TransactionFrame, Work};
-use crate::request::marks::SessionMarks;
 use crate::request::principal::Principal;
+use crate::request::session_positions::SessionPositions;
 
 /// Pause before an instance that was full is tried again; it doubles up to
 /// [`LONGEST_BUSY_PAUSE`].
@@ -101,7 +101,7 @@
 pub(crate) async fn run<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     unit: &Unit<'_>,
-    marks: &mut SessionMarks,
+    positions: &mut SessionPositions,
     work: &Work,
     mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
@@ -111,7 +111,7 @@
     if needs_primary {
         run_on_primary(gateway, unit, work, mode).await
     } else {
-        run_on_fresh(gateway, unit, marks, work, mode).await
+        run_on_fresh(gateway, unit, positions, work, mode).await
     }
 }
 
@@ -287,7 +287,7 @@
 async fn run_on_fresh<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     unit: &Unit<'_>,
-    marks: &mut SessionMarks,
+    positions: &mut SessionPositions,
     work: &Work,
     mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
@@ -303,7 +303,7 @@
         if let Some(barred) = gateway.beliefs.barrier(service, unit.regions) {
             return Err(Failure::NotRun(read_refusal(barred)));
         }
-        let fence = read_fence(gateway, unit, marks, rounds).await?;
+        let fence = read_fence(gateway, unit, positions, rounds).await?;
         let now = Instant::now();
         let chosen = gateway
             .beliefs
@@ -355,7 +355,7 @@
 async fn read_fence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     unit: &Unit<'_>,
-    marks: &mut SessionMarks,
+    positions: &mut SessionPositions,
     rounds: u32,
 ) -> Result<Position, Failure> {
     let service = &unit.route.service;
@@ -368,8 +368,8 @@
         .checked_sub(staleness)
         .unwrap_or(unit.received_at);
     let reads_own_writes = matches!(unit.route.consistency, Consistency::ReadYourWrites(_));
-    let moment = if reads_own_writes && !marks.has_baseline(service) {
-        marks.opened_at.max(oldest)
+    let moment = if reads_own_writes && !positions.has_baseline(service) {
+        positions.opened_at.max(oldest)
     } else {
         oldest
     };
@@ -383,8 +383,8 @@
     if !reads_own_writes {
         return Ok(evidence);
     }
-    marks.reached(service, evidence);
-    Ok(session_fence(evidence, marks.required(service)))
+    positions.record_baseline(service, evidence);
+    Ok(session_fence(evidence, positions.required(service)))
 }
 
 /// Asks for new evidence before the present one is too old to be used.
--- a/crates/linkhold-gateway/src/session/mod.rs
+++ b/crates/linkhold-gateway/src/session/mod.rs
@@ -20,7 +20,7 @@
 use crate::ports::{
     CallerConnection, CallerError, CallerReply, CallerRequest, Platform, Startup, Statement,
 };
-use crate::request::marks::SessionMarks;
+use crate::request::session_positions::SessionPositions;
 use crate::request::statement::is_success;
 use crate::request::transaction::{OpenTransaction, log_aborted};
 use activity::Activity;
@@ -50,7 +50,7 @@
     startup: Startup,
     state: SessionState,
     transaction: Transaction<P>,
-    marks: SessionMarks,
+    positions: SessionPositions,
     stage: watch::Receiver<Stage>,
     activity: Activity,
 }
@@ -68,7 +68,7 @@
     let metrics_holder = gateway.clone();
     if let Ok(Some(startup)) = caller.startup().await {
         let session = Session {
-            marks: SessionMarks::new(Instant::now()),
+            positions: SessionPositions::new(Instant::now()),
             gateway,
             caller,
             startup,
@@ -109,7 +109,7 @@
     async fn run(mut self) {
         self.wait_for_configuration().await;
         if let Err(failure) = self.admitted() {
-            self.log_refusal(&Bytes::from_static(b"-"), failure, self.marks.opened_at);
+            self.log_refusal(&Bytes::from_static(b"-"), failure, self.positions.opened_at);
             let _ = self.caller.refuse(failure).await;
             return;
         }
@@ -131,7 +131,7 @@
     /// A node that has just started learns the configuration within
     /// milliseconds if it can at all.
     async fn wait_for_configuration(&self) {
-        let deadline = self.marks.opened_at + CONFIGURATION_WAIT;
+        let deadline = self.positions.opened_at + CONFIGURATION_WAIT;
         let mut changes = self.gateway.beliefs.subscribe();
         while !self.gateway.beliefs.can_serve() {
             changes.mark_unchanged();
--- a/crates/linkhold-gateway/src/session/operations.rs
+++ b/crates/linkhold-gateway/src/session/operations.rs
@@ -187,14 +187,14 @@
             received_at,
         };
         let mode = TransactionMode::Autocommit;
-        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, mode).await;
+        let ran = statement::run(&self.gateway, &unit, &mut self.positions, work, mode).await;
         let answer = self.settle_budget(&holder, ran)?;
         let reply = finish_alone(answer);
         if work.access() == Access::Write
             && is_success(&reply)
             && let Some(position) = reply.position
         {
-            self.marks.committed(&route.service, position);
+            self.positions.record_commit(&route.service, position);
         }
         Ok(reply)
     }
@@ -225,7 +225,7 @@
         } else {
             TransactionMode::ReadWrite
         };
-        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, mode).await;
+        let ran = statement::run(&self.gateway, &unit, &mut self.positions, work, mode).await;
         let answer = self.settle_budget(&admitted.holder, ran)?;
         let reply = answer.reply.clone();
         let open = OpenTransaction::new(admitted, answer.held, work.access());
@@ -357,7 +357,7 @@
             .commit(&self.gateway, &self.state, work, answer_by)
             .await?;
         if let Some(position) = committed.position {
-            self.marks.committed(&service, position);
+            self.positions.record_commit(&service, position);
         }
         Ok(committed.reply)
     }
@@ -384,7 +384,7 @@
         } else {
             TransactionMode::ReadWrite
         };
-        let ran = statement::run(&self.gateway, &unit, &mut self.marks, work, mode).await;
+        let ran = statement::run(&self.gateway, &unit, &mut self.positions, work, mode).await;
         let answer = self.settle_budget(&admitted.holder, ran)?;
         Ok(finish_alone(answer))
     }
