--- a/crates/linkhold-gateway/src/evidence/lead_proof.rs
+++ b/crates/linkhold-gateway/src/evidence/lead_proof.rs
@@ -59,7 +59,7 @@
         }
         verdict @ (LeadVerdict::Replaced(_) | LeadVerdict::Unknown) => {
             log_not_proved(primary, &statuses, verdict);
-            gateway.instance_denied_primary(primary);
+            gateway.record_primary_denial(primary);
             Err(NotRunCause::Refused(BackendErrorKind::ReadOnly))
         }
     }
@@ -103,14 +103,14 @@
     }
     match survey::begin(gateway, primary).await {
         Ok(reply) if reply.error() == Some(BackendErrorKind::ReadOnly) => {
-            gateway.instance_denied_primary(primary);
+            gateway.record_primary_denial(primary);
             NotRunCause::Refused(BackendErrorKind::ReadOnly)
         }
         Ok(_) => NotRunCause::Refused(BackendErrorKind::Busy),
         Err(error) => {
             let cause = checkout_failure_cause(gateway, primary, CheckoutError::Connect(error));
             if cause == NotRunCause::Unreachable {
-                gateway.instance_failed(primary, "unreachable");
+                gateway.record_instance_failure(primary, "unreachable");
             }
             cause
         }
--- a/crates/linkhold-gateway/src/evidence/probe.rs
+++ b/crates/linkhold-gateway/src/evidence/probe.rs
@@ -103,7 +103,7 @@
     {
         // The owner has proved that it leads.
         gateway.beliefs.prove_lead(&primary.id);
-        gateway.primary_proved(&primary, sample);
+        gateway.record_primary_proof(&primary, sample);
         return;
     }
     gateway.metrics.evidence_probes.add();
@@ -144,14 +144,14 @@
     let exchange = lease.pooled().connection.exchange(&commands);
     match timeout_at(deadline, exchange).await {
         Ok(Ok(replies)) => {
-            gateway.instance_answered(&primary.id, sent_at.elapsed(), None);
+            gateway.record_instance_answer(&primary.id, sent_at.elapsed(), None);
             match (replies[0].error(), replies[0].position) {
                 (None, Some(position))
-                    if gateway.has_lost_its_log(&primary, Some(position), proved) => {}
+                    if gateway.detect_lost_log(&primary, Some(position), proved) => {}
                 (None, Some(position)) => {
-                    gateway.primary_proved(&primary, Sample { sent_at, position });
+                    gateway.record_primary_proof(&primary, Sample { sent_at, position });
                 }
-                (Some(BackendErrorKind::ReadOnly), _) => gateway.instance_denied_primary(&primary),
+                (Some(BackendErrorKind::ReadOnly), _) => gateway.record_primary_denial(&primary),
                 _ => {}
             }
             lease.release();
--- a/crates/linkhold-gateway/src/evidence/survey.rs
+++ b/crates/linkhold-gateway/src/evidence/survey.rs
@@ -43,7 +43,7 @@
         (None, Some(position)) => {
             // One that may have been replaced proves nothing of its service's log.
             if !gateway.beliefs.needs_lead_proof(&instance.id) {
-                gateway.primary_proved(instance, Sample { sent_at, position });
+                gateway.record_primary_proof(instance, Sample { sent_at, position });
             }
             Reachability::Reached
         }
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -55,7 +55,7 @@
     match own {
         Reachability::Reached => {
             gateway.relays.forget(&primary.id);
-            gateway.instance_answered(&primary.id, Duration::ZERO, None);
+            gateway.record_instance_answer(&primary.id, Duration::ZERO, None);
             if gateway.beliefs.is_leaving(&primary.id, Instant::now()) {
                 return Some(Trouble::Leaving);
             }
@@ -69,7 +69,7 @@
         Reachability::Unreached => {
             // Through a peer it may be served all the while.
             if !gateway.relays.is_relayed(&primary.id) {
-                gateway.instance_failed(&primary, "unreachable");
+                gateway.record_instance_failure(&primary, "unreachable");
             }
             let findings = match early {
                 Some(findings) => findings,
@@ -86,7 +86,7 @@
 fn use_peers<P: Platform>(gateway: &Gateway<P>, primary: &Instance, peers: Vec<SocketAddr>) {
     if peers.is_empty() {
         if gateway.relays.forget(&primary.id) {
-            gateway.instance_failed(primary, "unreachable");
+            gateway.record_instance_failure(primary, "unreachable");
         }
         return;
     }
@@ -109,7 +109,7 @@
     gateway
         .relays
         .learn(&primary.id, &instance_region, relay_peers);
-    gateway.instance_answered(&primary.id, Duration::ZERO, None);
+    gateway.record_instance_answer(&primary.id, Duration::ZERO, None);
 }
 
 /// Judges a primary by what its watchers found.
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -352,7 +352,7 @@
         return None;
     }
     if !leads_newest_term(gateway, old, &present) {
-        gateway.instance_denied_primary(old);
+        gateway.record_primary_denial(old);
         return None;
     }
     // One that is misplaced does not end by itself: it waits for its successor.
--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -267,7 +267,7 @@
             ForwardOutcome::Answered { reply, begin, .. } => {
                 let reply = translate::reply_from(reply);
                 let took = sent_at.elapsed();
-                gateway.instance_answered(&self.instance.id, took, reply.position);
+                gateway.record_instance_answer(&self.instance.id, took, reply.position);
                 AttemptOutcome::Answered(Answer {
                     reply,
                     begin: begin.map(|begin| (sent_at, translate::reply_from(begin))),
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -176,7 +176,7 @@
     }
 
     /// An instance could not be reached or fell silent.
-    pub(crate) fn instance_failed(&self, instance: &Instance, reason: &'static str) {
+    pub(crate) fn record_instance_failure(&self, instance: &Instance, reason: &'static str) {
         let now = Instant::now();
         let was_failing = self
             .beliefs
@@ -200,7 +200,7 @@
     }
 
     /// An instance answered, and told how far its log has come.
-    pub(crate) fn instance_answered(
+    pub(crate) fn record_instance_answer(
         &self,
         id: &InstanceId,
         took: Duration,
@@ -216,7 +216,7 @@
     }
 
     /// An instance refused work that only a primary takes.
-    pub(crate) fn instance_denied_primary(&self, instance: &Instance) {
+    pub(crate) fn record_primary_denial(&self, instance: &Instance) {
         self.beliefs.deny_primary(&instance.id);
         if self.beliefs.primary(&instance.service).is_none() {
             self.attention.suspect(&instance.service);
@@ -226,8 +226,8 @@
     /// An instance replied as a primary to a request. That proves what its log must
     /// hold unless it had been replaced by then: reads on the evidence of a replaced
     /// primary lack what its successor has acknowledged.
-    pub(crate) fn primary_proved(&self, instance: &Instance, sample: Sample) {
-        if self.is_outdated(instance, Some(sample.position)) {
+    pub(crate) fn record_primary_proof(&self, instance: &Instance, sample: Sample) {
+        if self.detect_outdated_primary(instance, Some(sample.position)) {
             return;
         }
         let is_replaced = self.beliefs.is_replaced(instance);
@@ -239,11 +239,15 @@
     /// Whether an instance that answered as a primary is known to be replaced: its log
     /// ends in an older term than another primary's did. It is not believed to lead any
     /// more.
-    pub(crate) fn is_outdated(&self, instance: &Instance, position: Option<Position>) -> bool {
+    pub(crate) fn detect_outdated_primary(
+        &self,
+        instance: &Instance,
+        position: Option<Position>,
+    ) -> bool {
         let newest = self.beliefs.newest_proved_term(&instance.service);
         let is_outdated = position.is_some_and(|position| Some(position.term) < newest);
         if is_outdated {
-            self.instance_denied_primary(instance);
+            self.record_primary_denial(instance);
         }
         is_outdated
     }
@@ -251,7 +255,7 @@
     /// Whether an instance that answered as a primary lacks what it was proved to hold
     /// before it was asked: it has started again with nothing. It is not believed to lead
     /// any more. Until its entry told so, 44 reads of what was written found nothing.
-    pub(crate) fn has_lost_its_log(
+    pub(crate) fn detect_lost_log(
         &self,
         instance: &Instance,
         position: Option<Position>,
@@ -265,7 +269,7 @@
                 .field("position", position.unwrap_or_default())
                 .field("proved", proved.unwrap_or_default())
                 .log();
-            self.instance_denied_primary(instance);
+            self.record_primary_denial(instance);
         }
         has_lost
     }
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -11,12 +11,12 @@
     /// A connection to an instance could not be made.
     pub(crate) fn connect_failed(&self, instance: &Instance, error: ConnectError) {
         match error {
-            ConnectError::Unreachable => self.instance_failed(instance, "unreachable"),
+            ConnectError::Unreachable => self.record_instance_failure(instance, "unreachable"),
             ConnectError::WrongInstance => {
-                self.instance_failed(instance, "address_used_by_another");
+                self.record_instance_failure(instance, "address_used_by_another");
             }
             ConnectError::Closed if !self.answered_lately(instance) => {
-                self.instance_failed(instance, "closed_at_once");
+                self.record_instance_failure(instance, "closed_at_once");
             }
             ConnectError::Rejected | ConnectError::Closed => {
                 self.note_refusal(instance, BackendErrorKind::TooManyConnections);
@@ -43,7 +43,7 @@
         const BUSY_PAUSE: Duration = Duration::from_millis(40);
         let now = Instant::now();
         match kind {
-            BackendErrorKind::ReadOnly => self.instance_denied_primary(instance),
+            BackendErrorKind::ReadOnly => self.record_primary_denial(instance),
             BackendErrorKind::Busy | BackendErrorKind::TooManyConnections => self
                 .beliefs
                 .observe(&instance.id, |health| health.was_busy(now, BUSY_PAUSE)),
@@ -51,7 +51,7 @@
                 .beliefs
                 .observe(&instance.id, |health| health.lagged(now)),
             BackendErrorKind::WrongInstance => {
-                self.instance_failed(instance, "address_used_by_another");
+                self.record_instance_failure(instance, "address_used_by_another");
             }
             BackendErrorKind::UnknownPrepared
             | BackendErrorKind::Aborted
@@ -62,7 +62,7 @@
     /// A statement got no answer in time.
     pub(crate) fn instance_silent(&self, instance: &Instance, sent_at: Instant) {
         if !self.answered_since(instance, sent_at) {
-            self.instance_failed(instance, "silent");
+            self.record_instance_failure(instance, "silent");
         }
     }
 
--- a/crates/linkhold-gateway/src/request/exchange.rs
+++ b/crates/linkhold-gateway/src/request/exchange.rs
@@ -51,7 +51,7 @@
         }
         Some(Ok(replies)) => {
             let position = replies.last().and_then(|reply| reply.position);
-            gateway.instance_answered(&instance.id, sent_at.elapsed(), position);
+            gateway.record_instance_answer(&instance.id, sent_at.elapsed(), position);
             ExchangeOutcome::Answered(replies)
         }
     }
--- a/crates/linkhold-gateway/src/request/primary_answer.rs
+++ b/crates/linkhold-gateway/src/request/primary_answer.rs
@@ -24,8 +24,8 @@
     let is_permitted =
         !work.may_commit() || gateway.beliefs.may_speak_for(instance, Instant::now());
     is_permitted
-        && !gateway.is_outdated(instance, position)
-        && !gateway.has_lost_its_log(instance, position, proved)
+        && !gateway.detect_outdated_primary(instance, position)
+        && !gateway.detect_lost_log(instance, position, proved)
 }
 
 /// Whether a statement's answer is told as that of a primary: it writes or ends a
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -279,7 +279,7 @@
     if let Some((sent_at, reply)) = proof
         && let Some(position) = reply.position
     {
-        gateway.primary_proved(primary, Sample { sent_at, position });
+        gateway.record_primary_proof(primary, Sample { sent_at, position });
     }
 }
 
--- a/crates/linkhold-gateway/src/request/transaction.rs
+++ b/crates/linkhold-gateway/src/request/transaction.rs
@@ -120,7 +120,7 @@
                 sent_at: answer.sent_at,
                 position,
             };
-            gateway.primary_proved(answer.held.instance(), sample);
+            gateway.record_primary_proof(answer.held.instance(), sample);
         }
         answer.held.finish(answer.reply.status);
         Ok(Committed {
