--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -59,14 +59,14 @@
     let (finished, mut finishes) = mpsc::unbounded_channel();
     loop {
         tokio::select! {
-            () = gateway.attention.raised() => {}
+            () = gateway.suspected_primaries.changed() => {}
             () = sleep(LOOK_INTERVAL) => {}
             Some(service) = finishes.recv() => {
                 busy.remove(&service);
             }
         }
         relay::try_direct_ways(&gateway);
-        let mut services = gateway.attention.take();
+        let mut services = gateway.suspected_primaries.take();
         services.extend(services_with_leaving_primary(&gateway));
         services.extend(misplaced.due(&gateway));
         for service in services {
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -44,7 +44,7 @@
     /// What it counts.
     pub metrics: Metrics,
     /// Asks for evidence or a look at a primary.
-    pub(crate) attention: Attention,
+    pub(crate) suspected_primaries: SuspectedPrimaries,
     pub(crate) questions: Questions,
     pub(crate) fleet: Fleet,
     pub(crate) own_row: OwnRow,
@@ -69,27 +69,27 @@
 
 /// Services whose primary needs looking after.
 #[derive(Default)]
-pub(crate) struct Attention {
-    suspected: Mutex<BTreeSet<ServiceName>>,
-    raised: Notify,
+pub(crate) struct SuspectedPrimaries {
+    services: Mutex<BTreeSet<ServiceName>>,
+    changed: Notify,
 }
 
-impl Attention {
+impl SuspectedPrimaries {
     /// The primary of a service seems lost.
-    pub fn suspect(&self, service: &ServiceName) {
-        if lock(&self.suspected).insert(service.clone()) {
-            self.raised.notify_one();
+    pub fn add(&self, service: &ServiceName) {
+        if lock(&self.services).insert(service.clone()) {
+            self.changed.notify_one();
         }
     }
 
     /// Waits until a primary seems lost.
-    pub async fn raised(&self) {
-        self.raised.notified().await;
+    pub async fn changed(&self) {
+        self.changed.notified().await;
     }
 
     /// Takes the services whose primary seems lost.
     pub fn take(&self) -> BTreeSet<ServiceName> {
-        std::mem::take(&mut lock(&self.suspected))
+        std::mem::take(&mut lock(&self.services))
     }
 }
 
@@ -103,7 +103,7 @@
             freshness: Freshness::for_bound(settings.change_bound.min(settings.evacuation_bound)),
             settings,
             metrics: Metrics::default(),
-            attention: Attention::default(),
+            suspected_primaries: SuspectedPrimaries::default(),
             questions: Questions::default(),
             fleet: Fleet::default(),
             own_row: OwnRow::default(),
@@ -195,7 +195,7 @@
                 .log();
         }
         if self.is_believed_primary(&instance.id, &instance.service) {
-            self.attention.suspect(&instance.service);
+            self.suspected_primaries.add(&instance.service);
         }
     }
 
@@ -219,7 +219,7 @@
     pub(crate) fn record_primary_denial(&self, instance: &Instance) {
         self.beliefs.deny_primary(&instance.id);
         if self.beliefs.primary(&instance.service).is_none() {
-            self.attention.suspect(&instance.service);
+            self.suspected_primaries.add(&instance.service);
         }
     }
 
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -33,7 +33,7 @@
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         if is_primary {
-            self.attention.suspect(&instance.service);
+            self.suspected_primaries.add(&instance.service);
         }
     }
 
@@ -73,7 +73,7 @@
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         if is_primary && !self.answered_since(instance, sent_at) {
-            self.attention.suspect(&instance.service);
+            self.suspected_primaries.add(&instance.service);
         }
     }
 
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -298,7 +298,7 @@
         None => try_to_reach(gateway, instance).await,
     };
     if found == Reachability::Unreached {
-        gateway.attention.suspect(&instance.service);
+        gateway.suspected_primaries.add(&instance.service);
     }
     found
 }
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -209,7 +209,7 @@
                 barred => barred,
             },
             None => {
-                gateway.attention.suspect(service);
+                gateway.suspected_primaries.add(service);
                 gateway.beliefs.barrier(service, unit.regions)
             }
         };
