--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -38,7 +38,7 @@
 
 /// Who asks for a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     /// This node.
     Itself,
     /// Another one.
@@ -54,7 +54,7 @@
     /// They gave no answer.
     others_lost: bool,
     /// What the nodes that ask were granted.
-    parts: AskerParts<Asker>,
+    parts: AskerParts<Requester>,
 }
 
 /// Another node that is a tenant's coordinator.
@@ -75,12 +75,12 @@
 pub(crate) fn answer<W: BudgetWorld>(
     world: &Arc<W>,
     request: BudgetRequest<'_>,
-    asker: Asker,
+    requester: Requester,
 ) -> BudgetAnswer {
     if let Some(address) = successor(world, request.tenant) {
         return BudgetAnswer::Elsewhere(address);
     }
-    BudgetAnswer::Granted(grant(world, request, asker))
+    BudgetAnswer::Granted(grant(world, request, requester))
 }
 
 fn successor<W: BudgetWorld>(world: &Arc<W>, tenant: &TenantName) -> Option<SocketAddr> {
@@ -106,7 +106,11 @@
 }
 
 /// Grants a budget as whatever this node takes itself for.
-fn grant<W: BudgetWorld>(world: &Arc<W>, request: BudgetRequest<'_>, asker: Asker) -> Grant {
+fn grant<W: BudgetWorld>(
+    world: &Arc<W>,
+    request: BudgetRequest<'_>,
+    requester: Requester,
+) -> Grant {
     let tenant = request.tenant;
     let coordinators = world.coordinators(tenant);
     let rank = coordinators
@@ -121,7 +125,7 @@
     let inherited = inherited.map(|part| part as f64 / THOUSANDTHS);
     let known = budgets.get_mut(tenant);
     let mut parts = known.map_or_else(AskerParts::default, |it| std::mem::take(&mut it.parts));
-    parts.asked(asker, inherited, now);
+    parts.asked(requester, inherited, now);
     let held_back = held_back(world, &mut parts, now);
     let Some(terms) = terms(world, tenant, rank, others_lost, held_back) else {
         return Grant {
@@ -146,7 +150,7 @@
     entry.budget.give_back(request.unused, &terms);
     let wanted = request.wanted;
     let grant = entry.budget.grant(now, wanted, &terms);
-    parts.granted(asker, wanted, grant.amount, now);
+    parts.granted(requester, wanted, grant.amount, now);
     entry.parts = parts;
     let is_due = entry.looked_at.is_none_or(|at| now >= at + LOOK_INTERVAL);
     if is_due {
@@ -178,11 +182,11 @@
 /// What is kept for nodes which may ask another coordinator.
 fn held_back<W: BudgetWorld>(
     world: &Arc<W>,
-    parts: &mut AskerParts<Asker>,
+    parts: &mut AskerParts<Requester>,
     now: Instant,
 ) -> HeldBack {
     HeldBack {
-        cut_off: parts.held_back(now, |asker| may_ask_another(world, asker)),
+        cut_off: parts.held_back(now, |requester| may_ask_another(world, requester)),
         inherited: parts.inherited(),
     }
 }
@@ -191,10 +195,10 @@
 /// both granting the whole rate, a tenant had 3,118 operations in a window of which 2,983
 /// are allowed. One that is reached has callers that pause; held back as well, their parts
 /// had 800 of 60,000 operations of other tenants refused.
-fn may_ask_another<W: BudgetWorld>(world: &Arc<W>, asker: &Asker) -> bool {
-    match asker {
-        Asker::Itself => false,
-        Asker::Peer(address) => match world.quotas().liveness.of(*address) {
+fn may_ask_another<W: BudgetWorld>(world: &Arc<W>, requester: &Requester) -> bool {
+    match requester {
+        Requester::Itself => false,
+        Requester::Peer(address) => match world.quotas().liveness.of(*address) {
             Some(Life::Reached | Life::Ended) => false,
             Some(Life::Silent) | None => true,
         },
--- a/crates/linkhold-gateway/src/admission/mod.rs
+++ b/crates/linkhold-gateway/src/admission/mod.rs
@@ -11,6 +11,6 @@
 mod quotas;
 mod world;
 
-pub(crate) use coordinator::{Asker, BudgetAnswer, answer, displaced};
+pub(crate) use coordinator::{BudgetAnswer, Requester, answer, displaced};
 pub(crate) use quotas::{BudgetRequest, Quotas, admit, not_run};
 pub(crate) use world::{BudgetWorld, Coordinator};
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -24,7 +24,7 @@
 use crate::beliefs::lock;
 use crate::liveness::{Life, Liveness};
 
-use super::coordinator::{self, Asker, BudgetAnswer, Coordination};
+use super::coordinator::{self, BudgetAnswer, Coordination, Requester};
 use super::{BudgetWorld, Coordinator};
 
 /// A question is asked once more after this: datagrams may be lost. Nodes of
@@ -257,7 +257,7 @@
     deadline: Instant,
 ) -> Option<Grant> {
     let address = match node {
-        Coordinator::Itself => match coordinator::answer(world, request, Asker::Itself) {
+        Coordinator::Itself => match coordinator::answer(world, request, Requester::Itself) {
             BudgetAnswer::Granted(grant) => return Some(grant),
             BudgetAnswer::Elsewhere(address) => address,
         },
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -26,7 +26,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::sleep;
 
-use crate::admission::{self, Asker, BudgetAnswer, BudgetRequest};
+use crate::admission::{self, BudgetAnswer, BudgetRequest, Requester};
 use crate::confirmation;
 use crate::evidence::survey;
 use crate::gateway::Gateway;
@@ -159,7 +159,7 @@
                 unused,
                 inherited,
             };
-            let answer = admission::answer(gateway, request, Asker::Peer(from));
+            let answer = admission::answer(gateway, request, Requester::Peer(from));
             gateway.metrics.budget_answers.add();
             let message = budget_message(number, answer);
             // A lost answer is asked for again.
