--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -72,7 +72,7 @@
 }
 
 /// Grants a budget, or tells who does. Never waits.
-pub(crate) fn answer<W: BudgetWorld>(
+pub(crate) fn answer_request<W: BudgetWorld>(
     world: &Arc<W>,
     request: BudgetRequest<'_>,
     requester: Requester,
@@ -91,7 +91,11 @@
 }
 
 /// Another node tells that it is a tenant's coordinator.
-pub(crate) fn displaced<W: BudgetWorld>(world: &Arc<W>, tenant: TenantName, by: SocketAddr) {
+pub(crate) fn record_displacement<W: BudgetWorld>(
+    world: &Arc<W>,
+    tenant: TenantName,
+    by: SocketAddr,
+) {
     let successor = Successor {
         address: by,
         until: Instant::now() + ELSEWHERE_FOR,
--- a/crates/linkhold-gateway/src/admission/mod.rs
+++ b/crates/linkhold-gateway/src/admission/mod.rs
@@ -11,6 +11,6 @@
 mod quotas;
 mod world;
 
-pub(crate) use coordinator::{BudgetAnswer, Requester, answer, displaced};
-pub(crate) use quotas::{BudgetRequest, Quotas, admit, not_run};
+pub(crate) use coordinator::{BudgetAnswer, Requester, answer_request, record_displacement};
+pub(crate) use quotas::{BudgetRequest, Quotas, admit, return_operation};
 pub(crate) use world::{BudgetWorld, Coordinator};
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -96,7 +96,7 @@
     }
 
     /// An answer came.
-    pub fn answered(&self, number: u64, answer: BudgetAnswer) {
+    pub fn complete_request(&self, number: u64, answer: BudgetAnswer) {
         if let Some(sender) = lock(&self.asked).remove(&number) {
             // Whoever asked may have stopped waiting.
             let _ = sender.send(answer);
@@ -120,7 +120,7 @@
 }
 
 /// An operation that was admitted did certainly not run.
-pub(crate) fn not_run<W: BudgetWorld>(world: &Arc<W>, holder: &ConnectionHolder) {
+pub(crate) fn return_operation<W: BudgetWorld>(world: &Arc<W>, holder: &ConnectionHolder) {
     if let Some(tenant) = holder.tenant() {
         let held = lock(&world.quotas().held).get(tenant).cloned();
         if let Some(held) = held {
@@ -257,7 +257,8 @@
     deadline: Instant,
 ) -> Option<Grant> {
     let address = match node {
-        Coordinator::Itself => match coordinator::answer(world, request, Requester::Itself) {
+        Coordinator::Itself => match coordinator::answer_request(world, request, Requester::Itself)
+        {
             BudgetAnswer::Granted(grant) => return Some(grant),
             BudgetAnswer::Elsewhere(address) => address,
         },
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -159,7 +159,7 @@
                 unused,
                 inherited,
             };
-            let answer = admission::answer(gateway, request, Requester::Peer(from));
+            let answer = admission::answer_request(gateway, request, Requester::Peer(from));
             gateway.metrics.budget_answers.add();
             let message = budget_message(number, answer);
             // A lost answer is asked for again.
@@ -176,12 +176,12 @@
             };
             gateway
                 .quotas
-                .answered(number, BudgetAnswer::Granted(grant));
+                .complete_request(number, BudgetAnswer::Granted(grant));
         }
         BudgetMessage::Elsewhere { number, address } => match address.parse() {
             Ok(address) => {
                 let answer = BudgetAnswer::Elsewhere(address);
-                gateway.quotas.answered(number, answer);
+                gateway.quotas.complete_request(number, answer);
             }
             Err(error) => Event::warn("peer_message_refused")
                 .field("from", from)
@@ -189,7 +189,7 @@
                 .log(),
         },
         BudgetMessage::Displaced { tenant } => {
-            admission::displaced(gateway, tenant.into(), from);
+            admission::record_displacement(gateway, tenant.into(), from);
         }
     }
 }
--- a/crates/linkhold-gateway/src/session/operations.rs
+++ b/crates/linkhold-gateway/src/session/operations.rs
@@ -255,7 +255,7 @@
     ) -> Result<Answer<P>, Failure> {
         let did_not_run = matches!(&ran, Err(Failure::NotRun(reason)) if !reason.may_have_run());
         if did_not_run {
-            admission::not_run(&self.gateway, holder);
+            admission::return_operation(&self.gateway, holder);
         }
         ran
     }
