--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -16,7 +16,7 @@
 use crate::liveness::Life;
 
 use super::quotas::{self, BudgetRequest, THOUSANDTHS};
-use super::{BudgetWorld, Coordinator};
+use super::{BudgetEnvironment, Coordinator};
 
 /// When to ask again where the coordinator does not know the tenant yet.
 const UNKNOWN_TENANT_RETRY: Duration = Duration::from_millis(150);
@@ -72,27 +72,30 @@
 }
 
 /// Grants a budget, or tells who does. Never waits.
-pub(crate) fn answer_request<W: BudgetWorld>(
-    world: &Arc<W>,
+pub(crate) fn answer_request<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     request: BudgetRequest<'_>,
     requester: Requester,
 ) -> BudgetAnswer {
-    if let Some(address) = successor(world, request.tenant) {
+    if let Some(address) = successor(environment, request.tenant) {
         return BudgetAnswer::Elsewhere(address);
     }
-    BudgetAnswer::Granted(grant(world, request, requester))
+    BudgetAnswer::Granted(grant(environment, request, requester))
 }
 
-fn successor<W: BudgetWorld>(world: &Arc<W>, tenant: &TenantName) -> Option<SocketAddr> {
+fn successor<E: BudgetEnvironment>(
+    environment: &Arc<E>,
+    tenant: &TenantName,
+) -> Option<SocketAddr> {
     let now = Instant::now();
-    let successors = lock(&world.quotas().coordination.successors);
+    let successors = lock(&environment.quotas().coordination.successors);
     let successor = successors.get(tenant).filter(|it| now < it.until)?;
     Some(successor.address)
 }
 
 /// Another node tells that it is a tenant's coordinator.
-pub(crate) fn record_displacement<W: BudgetWorld>(
-    world: &Arc<W>,
+pub(crate) fn record_displacement<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     tenant: TenantName,
     by: SocketAddr,
 ) {
@@ -100,7 +103,8 @@
         address: by,
         until: Instant::now() + ELSEWHERE_FOR,
     };
-    let known = lock(&world.quotas().coordination.successors).insert(tenant.clone(), successor);
+    let known =
+        lock(&environment.quotas().coordination.successors).insert(tenant.clone(), successor);
     if known.is_none_or(|known| known.address != by) {
         Event::info("budget_coordinator_displaced")
             .field("tenant", tenant)
@@ -110,18 +114,18 @@
 }
 
 /// Grants a budget as whatever this node takes itself for.
-fn grant<W: BudgetWorld>(
-    world: &Arc<W>,
+fn grant<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     request: BudgetRequest<'_>,
     requester: Requester,
 ) -> Grant {
     let tenant = request.tenant;
-    let coordinators = world.coordinators(tenant);
+    let coordinators = environment.coordinators(tenant);
     let rank = coordinators
         .iter()
         .position(|node| *node == Coordinator::Itself);
     let now = Instant::now();
-    let mut budgets = lock(&world.quotas().coordination.budgets);
+    let mut budgets = lock(&environment.quotas().coordination.budgets);
     let others_lost = budgets.get(tenant).is_some_and(|it| it.others_lost);
     // A node that had turned from the first coordinator before this one was the first.
     let is_first = rank == Some(0);
@@ -130,8 +134,8 @@
     let known = budgets.get_mut(tenant);
     let mut parts = known.map_or_else(AskerParts::default, |it| std::mem::take(&mut it.parts));
     parts.asked(requester, inherited, now);
-    let held_back = held_back(world, &mut parts, now);
-    let Some(terms) = terms(world, tenant, rank, others_lost, held_back) else {
+    let held_back = held_back(environment, &mut parts, now);
+    let Some(terms) = terms(environment, tenant, rank, others_lost, held_back) else {
         return Grant {
             amount: 0,
             retry_after: UNKNOWN_TENANT_RETRY,
@@ -160,37 +164,37 @@
     if is_due {
         entry.looked_at = Some(now);
         drop(budgets);
-        look_around(world, tenant, rank, &coordinators);
+        look_around(environment, tenant, rank, &coordinators);
     }
     grant
 }
 
-fn terms<W: BudgetWorld>(
-    world: &Arc<W>,
+fn terms<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     tenant: &str,
     rank: Option<usize>,
     others_lost: bool,
     held_back: HeldBack,
 ) -> Option<GrantTerms> {
-    let rules = world.quota_rules()?;
-    let limit = world.limit(tenant)?;
+    let rules = environment.quota_rules()?;
+    let limit = environment.limit(tenant)?;
     Some(GrantTerms {
         limit,
         in_window: rules.window_limit(limit),
         window: rules.window,
-        standing: Standing::of_rank(rank, world.view_age(), others_lost),
+        standing: Standing::of_rank(rank, environment.view_age(), others_lost),
         held_back: held_back.of(limit),
     })
 }
 
 /// What is kept for nodes which may ask another coordinator.
-fn held_back<W: BudgetWorld>(
-    world: &Arc<W>,
+fn held_back<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     parts: &mut AskerParts<Requester>,
     now: Instant,
 ) -> HeldBack {
     HeldBack {
-        cut_off: parts.held_back(now, |requester| may_ask_another(world, requester)),
+        cut_off: parts.held_back(now, |requester| may_ask_another(environment, requester)),
         inherited: parts.inherited(),
     }
 }
@@ -199,10 +203,10 @@
 /// both granting the whole rate, a tenant had 3,118 operations in a window of which 2,983
 /// are allowed. One that is reached has callers that pause; held back as well, their parts
 /// had 800 of 60,000 operations of other tenants refused.
-fn may_ask_another<W: BudgetWorld>(world: &Arc<W>, requester: &Requester) -> bool {
+fn may_ask_another<E: BudgetEnvironment>(environment: &Arc<E>, requester: &Requester) -> bool {
     match requester {
         Requester::Itself => false,
-        Requester::Peer(address) => match world.quotas().liveness.of(*address) {
+        Requester::Peer(address) => match environment.quotas().liveness.of(*address) {
             Some(Life::Reached | Life::Ended) => false,
             Some(Life::Silent) | None => true,
         },
@@ -219,22 +223,22 @@
 
 /// Looks whether those before this node live, or tells those after it that it has
 /// joined before them.
-fn look_around<W: BudgetWorld>(
-    world: &Arc<W>,
+fn look_around<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     tenant: &TenantName,
     rank: Option<usize>,
     coordinators: &[Coordinator],
 ) {
     match rank {
-        Some(0) if world.life_time() < JOINING_TIME => {
+        Some(0) if environment.life_time() < JOINING_TIME => {
             let after: Vec<SocketAddr> = peers(&coordinators[1..]);
-            let teller = world.clone();
+            let teller = environment.clone();
             let tenant = tenant.clone();
             tokio::spawn(async move { quotas::tell_displaced(&teller, &tenant, &after).await });
         }
         Some(rank) if rank > 0 => {
             let before: Vec<SocketAddr> = peers(&coordinators[..rank]);
-            let looker = world.clone();
+            let looker = environment.clone();
             let tenant = tenant.clone();
             tokio::spawn(async move { look_before(&looker, &tenant, &before).await });
         }
@@ -250,7 +254,11 @@
     nodes.iter().filter_map(address).collect()
 }
 
-async fn look_before<W: BudgetWorld>(world: &Arc<W>, tenant: &TenantName, before: &[SocketAddr]) {
+async fn look_before<E: BudgetEnvironment>(
+    environment: &Arc<E>,
+    tenant: &TenantName,
+    before: &[SocketAddr],
+) {
     let mut others_lost = true;
     for address in before {
         let deadline = Instant::now() + quotas::ANSWER_TIMEOUT;
@@ -260,10 +268,10 @@
             unused: 0,
             inherited: None,
         };
-        let answer = quotas::question(world, *address, request, deadline).await;
+        let answer = quotas::question(environment, *address, request, deadline).await;
         others_lost &= answer.is_none();
     }
-    let mut budgets = lock(&world.quotas().coordination.budgets);
+    let mut budgets = lock(&environment.quotas().coordination.budgets);
     if let Some(entry) = budgets.get_mut(tenant) {
         entry.others_lost = others_lost;
     }
--- a/crates/linkhold-gateway/src/admission/world.rs
+++ b/crates/linkhold-gateway/src/admission/environment.rs
@@ -19,7 +19,7 @@
 }
 
 /// The fleet and the network, as the admission of tenants sees them.
-pub(crate) trait BudgetWorld: Send + Sync + 'static {
+pub(crate) trait BudgetEnvironment: Send + Sync + 'static {
     /// What is kept of budgets.
     fn quotas(&self) -> &Quotas;
     /// How limits are counted.
--- a/crates/linkhold-gateway/src/admission/mod.rs
+++ b/crates/linkhold-gateway/src/admission/mod.rs
@@ -5,12 +5,12 @@
 //! asks, [`coordinator`] grants. Tenants without a limit, and nodes whose settings
 //! tell no window, cost nothing here.
 //!
-//! The parts meet the fleet and the network through [`BudgetWorld`].
+//! The parts meet the fleet and the network through [`BudgetEnvironment`].
 
 mod coordinator;
+mod environment;
 mod quotas;
-mod world;
 
 pub(crate) use coordinator::{BudgetAnswer, Requester, answer_request, record_displacement};
+pub(crate) use environment::{BudgetEnvironment, Coordinator};
 pub(crate) use quotas::{BudgetRequest, Quotas, admit, return_operation};
-pub(crate) use world::{BudgetWorld, Coordinator};
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -25,7 +25,7 @@
 use crate::liveness::{Life, Liveness};
 
 use super::coordinator::{self, BudgetAnswer, Coordination, Requester};
-use super::{BudgetWorld, Coordinator};
+use super::{BudgetEnvironment, Coordinator};
 
 /// A question is asked once more after this: datagrams may be lost. Nodes of
 /// different regions are up to 40 ms away, there and back.
@@ -120,9 +120,12 @@
 }
 
 /// An operation that was admitted did certainly not run.
-pub(crate) fn return_operation<W: BudgetWorld>(world: &Arc<W>, holder: &ConnectionHolder) {
+pub(crate) fn return_operation<E: BudgetEnvironment>(
+    environment: &Arc<E>,
+    holder: &ConnectionHolder,
+) {
     if let Some(tenant) = holder.tenant() {
-        let held = lock(&world.quotas().held).get(tenant).cloned();
+        let held = lock(&environment.quotas().held).get(tenant).cloned();
         if let Some(held) = held {
             lock(&held.budget).not_run();
         }
@@ -131,40 +134,40 @@
 
 /// Waits until a holder may have one more operation run, until `deadline` at the
 /// longest.
-pub(crate) async fn admit<W: BudgetWorld>(
-    world: &Arc<W>,
+pub(crate) async fn admit<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     holder: &ConnectionHolder,
     deadline: Instant,
 ) -> Result<(), NotRun> {
-    let is_limited = |tenant: &&TenantName| world.limit(tenant).is_some();
+    let is_limited = |tenant: &&TenantName| environment.limit(tenant).is_some();
     let limited = holder.tenant().filter(is_limited);
-    let (Some(tenant), Some(_)) = (limited, world.quota_rules()) else {
+    let (Some(tenant), Some(_)) = (limited, environment.quota_rules()) else {
         return Ok(());
     };
-    let admitted = spend(world, tenant, deadline).await;
+    let admitted = spend(environment, tenant, deadline).await;
     if admitted.is_err() {
-        world.count_refusal();
+        environment.count_refusal();
     }
     admitted
 }
 
-async fn spend<W: BudgetWorld>(
-    world: &Arc<W>,
+async fn spend<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     tenant: &TenantName,
     deadline: Instant,
 ) -> Result<(), NotRun> {
-    let held = world.quotas().held(tenant);
+    let held = environment.quotas().held(tenant);
     if let Some(decided) = try_spend(&held) {
         return decided;
     }
     held.waiting.fetch_add(1, Ordering::Relaxed);
-    let decided = wait_for_budget(world, &held, tenant, deadline).await;
+    let decided = wait_for_budget(environment, &held, tenant, deadline).await;
     held.waiting.fetch_sub(1, Ordering::Relaxed);
     decided
 }
 
-async fn wait_for_budget<W: BudgetWorld>(
-    world: &Arc<W>,
+async fn wait_for_budget<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     held: &HeldTenant,
     tenant: &TenantName,
     deadline: Instant,
@@ -188,7 +191,7 @@
                 inherited: None,
             }
         };
-        let grant = ask(world, held, request, deadline).await?;
+        let grant = ask(environment, held, request, deadline).await?;
         lock(&held.budget).granted(asked_at, grant);
     }
 }
@@ -202,8 +205,8 @@
 }
 
 /// Asks the first coordinator that answers.
-async fn ask<W: BudgetWorld>(
-    world: &Arc<W>,
+async fn ask<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     held: &HeldTenant,
     request: BudgetRequest<'_>,
     deadline: Instant,
@@ -212,9 +215,9 @@
         let mut pause = FLEET_PAUSE;
         // Whether a coordinator before may live, and grant other nodes.
         let mut may_live_before = false;
-        for node in world.coordinators(request.tenant) {
-            if !world.quotas().is_reached(node) {
-                may_live_before |= !has_ended(world, node);
+        for node in environment.coordinators(request.tenant) {
+            if !environment.quotas().is_reached(node) {
+                may_live_before |= !has_ended(environment, node);
                 continue;
             }
             let part = may_live_before.then(|| held.inherit());
@@ -227,13 +230,13 @@
                 inherited,
                 ..request
             };
-            if let Some(grant) = ask_node(world, node, request, deadline).await {
+            if let Some(grant) = ask_node(environment, node, request, deadline).await {
                 if !may_live_before {
                     lock(&held.inherited).take();
                 }
                 return Ok(grant);
             }
-            may_live_before |= !has_ended(world, node);
+            may_live_before |= !has_ended(environment, node);
         }
         if Instant::now() + pause >= deadline {
             return Err(NotRun::NoBudget);
@@ -243,33 +246,36 @@
 }
 
 /// Whether a coordinator that gave no answer runs no more.
-fn has_ended<W: BudgetWorld>(world: &Arc<W>, node: Coordinator) -> bool {
+fn has_ended<E: BudgetEnvironment>(environment: &Arc<E>, node: Coordinator) -> bool {
     match node {
         Coordinator::Itself => false,
-        Coordinator::Peer(address) => world.quotas().liveness.of(address) == Some(Life::Ended),
+        Coordinator::Peer(address) => {
+            environment.quotas().liveness.of(address) == Some(Life::Ended)
+        }
     }
 }
 
-async fn ask_node<W: BudgetWorld>(
-    world: &Arc<W>,
+async fn ask_node<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     node: Coordinator,
     request: BudgetRequest<'_>,
     deadline: Instant,
 ) -> Option<Grant> {
     let address = match node {
-        Coordinator::Itself => match coordinator::answer_request(world, request, Requester::Itself)
-        {
-            BudgetAnswer::Granted(grant) => return Some(grant),
-            BudgetAnswer::Elsewhere(address) => address,
-        },
+        Coordinator::Itself => {
+            match coordinator::answer_request(environment, request, Requester::Itself) {
+                BudgetAnswer::Granted(grant) => return Some(grant),
+                BudgetAnswer::Elsewhere(address) => address,
+            }
+        }
         Coordinator::Peer(address) => address,
     };
-    let answer = question(world, address, request, deadline).await?;
+    let answer = question(environment, address, request, deadline).await?;
     let elsewhere = match answer {
         BudgetAnswer::Granted(grant) => return Some(grant),
         BudgetAnswer::Elsewhere(address) => address,
     };
-    match question(world, elsewhere, request, deadline).await? {
+    match question(environment, elsewhere, request, deadline).await? {
         BudgetAnswer::Granted(grant) => Some(grant),
         BudgetAnswer::Elsewhere(_) => None,
     }
@@ -277,15 +283,15 @@
 
 /// Asks a node once, and once more if no answer comes. One that gives none is
 /// passed over for a while.
-pub(super) async fn question<W: BudgetWorld>(
-    world: &Arc<W>,
+pub(super) async fn question<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     address: SocketAddr,
     request: BudgetRequest<'_>,
     deadline: Instant,
 ) -> Option<BudgetAnswer> {
     let (sender, mut receiver) = oneshot::channel();
     let number = rand::random();
-    lock(&world.quotas().asked).insert(number, sender);
+    lock(&environment.quotas().asked).insert(number, sender);
     let question = |unused| BudgetMessage::Question {
         number,
         tenant: request.tenant.to_string(),
@@ -293,18 +299,18 @@
         unused,
         inherited: request.inherited,
     };
-    world.count_question();
-    world.send(address, question(request.unused)).await;
+    environment.count_question();
+    environment.send(address, question(request.unused)).await;
     let mut answer = timeout(REPEAT_AFTER, &mut receiver).await;
     if answer.is_err() && Instant::now() < deadline {
         // What is given back counts once, even if the first question arrived.
-        world.send(address, question(0)).await;
+        environment.send(address, question(0)).await;
         answer = timeout(ANSWER_TIMEOUT - REPEAT_AFTER, &mut receiver).await;
     }
-    lock(&world.quotas().asked).remove(&number);
+    lock(&environment.quotas().asked).remove(&number);
     let answer = answer.ok().and_then(Result::ok);
     if answer.is_none() {
-        world.quotas().pass_over(address);
+        environment.quotas().pass_over(address);
         Event::info("budget_coordinator_unreached")
             .field("tenant", request.tenant)
             .field("node", address)
@@ -315,13 +321,15 @@
 }
 
 /// Tells nodes that this one is a tenant's coordinator now.
-pub(super) async fn tell_displaced<W: BudgetWorld>(
-    world: &Arc<W>,
+pub(super) async fn tell_displaced<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     tenant: &TenantName,
     nodes: &[SocketAddr],
 ) {
     for node in nodes {
         let tenant = tenant.to_string();
-        world.send(*node, BudgetMessage::Displaced { tenant }).await;
+        environment
+            .send(*node, BudgetMessage::Displaced { tenant })
+            .await;
     }
 }
--- a/crates/linkhold-gateway/src/budget_world.rs
+++ b/crates/linkhold-gateway/src/budget_environment.rs
@@ -6,11 +6,11 @@
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use linkhold_peer::{BudgetMessage, encode_budget};
 
-use crate::admission::{BudgetWorld, Coordinator, Quotas};
+use crate::admission::{BudgetEnvironment, Coordinator, Quotas};
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
-impl<P: Platform> BudgetWorld for Gateway<P> {
+impl<P: Platform> BudgetEnvironment for Gateway<P> {
     fn quotas(&self) -> &Quotas {
         &self.quotas
     }
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -7,7 +7,7 @@
 
 mod admission;
 pub mod beliefs;
-mod budget_world;
+mod budget_environment;
 mod confirmation;
 mod evidence;
 mod failover;
