--- a/crates/linkhold-gateway/src/lifecycle.rs
+++ b/crates/linkhold-gateway/src/lifecycle.rs
@@ -30,7 +30,7 @@
 
 /// What sessions are to do about a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
+pub enum ShutdownStage {
     /// Serve.
     Serving,
     /// End when no transaction is open and nothing is asked.
@@ -42,7 +42,7 @@
 }
 
 /// Carries out a stop; returns when the process should exit.
-pub async fn stop<P: Platform>(gateway: Arc<Gateway<P>>, stage: watch::Sender<Stage>) {
+pub async fn stop<P: Platform>(gateway: Arc<Gateway<P>>, stage: watch::Sender<ShutdownStage>) {
     let started = Instant::now();
     let grace = gateway.settings.grace;
     gateway.leave();
@@ -51,19 +51,19 @@
         .field("grace_ms", grace.as_millis())
         .log();
     sleep(IDLE_DELAY).await;
-    stage.send_replace(Stage::ClosingIdle);
+    stage.send_replace(ShutdownStage::ClosingIdle);
     let half = started + grace / 2;
     let end = started + grace.saturating_sub(EXIT_MARGIN);
     while Instant::now() < end {
         // A session that was accepted just before sessions were refused is counted
         // only at the look after that.
-        let refused_before = *stage.borrow() >= Stage::Refusing;
+        let refused_before = *stage.borrow() >= ShutdownStage::Refusing;
         sleep(LOOK_INTERVAL).await;
         let now = Instant::now();
         if now >= half {
-            stage.send_replace(Stage::ClosingAll);
+            stage.send_replace(ShutdownStage::ClosingAll);
         } else if now >= started + ROUTING_DELAY {
-            stage.send_replace(Stage::Refusing);
+            stage.send_replace(ShutdownStage::Refusing);
         }
         let served = gateway.relays.serving() + gateway.forwarding.lent();
         if refused_before && gateway.metrics.sessions_open() == 0 && served == 0 {
--- a/crates/linkhold-gateway/src/session/mod.rs
+++ b/crates/linkhold-gateway/src/session/mod.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep_until, timeout_at};
 
 use crate::gateway::Gateway;
-use crate::lifecycle::Stage;
+use crate::lifecycle::ShutdownStage;
 use crate::ports::{
     CallerConnection, CallerError, CallerReply, CallerRequest, Platform, Startup, Statement,
 };
@@ -51,7 +51,7 @@
     state: SessionState,
     transaction: Transaction<P>,
     positions: SessionPositions,
-    stage: watch::Receiver<Stage>,
+    stage: watch::Receiver<ShutdownStage>,
     activity: Activity,
 }
 
@@ -62,7 +62,7 @@
 pub async fn serve<P: Platform, C: CallerConnection>(
     gateway: Arc<Gateway<P>>,
     mut caller: C,
-    stage: watch::Receiver<Stage>,
+    stage: watch::Receiver<ShutdownStage>,
 ) {
     gateway.metrics.sessions_opened.add();
     let metrics_holder = gateway.clone();
@@ -224,14 +224,16 @@
         let stage = *self.stage.borrow_and_update();
         let is_in_transaction = !matches!(self.transaction, Transaction::None);
         match stage {
-            Stage::Serving => Closing::No,
-            Stage::ClosingAll if is_in_transaction => {
+            ShutdownStage::Serving => Closing::No,
+            ShutdownStage::ClosingAll if is_in_transaction => {
                 log_aborted(&self.startup.database, &self.tenant(), "node_stops");
                 Closing::Now
             }
-            Stage::ClosingIdle | Stage::Refusing if is_in_transaction => Closing::No,
+            ShutdownStage::ClosingIdle | ShutdownStage::Refusing if is_in_transaction => {
+                Closing::No
+            }
             // A caller that is about to ask something is let finish at any stage.
-            Stage::ClosingIdle | Stage::Refusing | Stage::ClosingAll => {
+            ShutdownStage::ClosingIdle | ShutdownStage::Refusing | ShutdownStage::ClosingAll => {
                 match self.activity.may_close_at() {
                     Some(at) if at > Instant::now() => Closing::At(at),
                     _ => Closing::Now,
