--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -272,7 +272,7 @@
     gateway
         .wait_for_warm_up(lease.instance(), opened_at, answer_by)
         .await;
-    let _pass = lease.gate().enter_at_once();
+    let _permit = lease.gate().acquire_immediately();
     let attempt = attempt::run_on_lease(gateway, lease, principal, &work, frame, answer_by).await;
     match attempt {
         AttemptOutcome::Answered(answer) => lent.keep(opened_by, answer),
--- a/crates/linkhold-gateway/src/gate.rs
+++ b/crates/linkhold-gateway/src/gate.rs
@@ -30,7 +30,7 @@
 struct State {
     limit: ConcurrencyLimit,
     running: usize,
-    waiters: BTreeMap<WaiterKey, oneshot::Sender<Pass>>,
+    waiters: BTreeMap<WaiterKey, oneshot::Sender<Permit>>,
     next_waiter: u64,
 }
 
@@ -40,13 +40,13 @@
 }
 
 /// The right to have one statement under way; given back when dropped.
-pub struct Pass {
+pub struct Permit {
     gate: Arc<Gate>,
 }
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.gate.leave();
+        self.gate.release();
     }
 }
 
@@ -69,17 +69,17 @@
     }
 
     /// The instance had no room.
-    pub fn refused(&self) {
+    pub fn record_refusal(&self) {
         lock(&self.state).limit.refused(Instant::now());
     }
 
     /// Waits until a statement may go; `None` if it may not before `deadline`.
-    pub async fn enter(self: &Arc<Self>, urgency: Urgency, deadline: Instant) -> Option<Pass> {
+    pub async fn acquire(self: &Arc<Self>, urgency: Urgency, deadline: Instant) -> Option<Permit> {
         let (receiver, key) = {
             let mut state = lock(&self.state);
             if state.running < state.limit.get() {
                 state.running += 1;
-                return Some(Pass { gate: self.clone() });
+                return Some(Permit { gate: self.clone() });
             }
             let (sender, receiver) = oneshot::channel();
             let key = (urgency, state.next_waiter);
@@ -99,29 +99,29 @@
     }
 
     /// Lets a statement of a transaction go.
-    pub fn enter_at_once(self: &Arc<Self>) -> Pass {
+    pub fn acquire_immediately(self: &Arc<Self>) -> Permit {
         lock(&self.state).running += 1;
-        Pass { gate: self.clone() }
+        Permit { gate: self.clone() }
     }
 
-    fn leave(self: &Arc<Self>) {
+    fn release(self: &Arc<Self>) {
         let mut state = lock(&self.state);
         state.running -= 1;
         if !state.waiters.is_empty() {
             state.limit.answered_under_load();
         }
-        let mut passes = Vec::new();
+        let mut permits = Vec::new();
         while state.running < state.limit.get() {
             let Some((_, waiter)) = state.waiters.pop_first() else {
                 break;
             };
             state.running += 1;
-            passes.push((waiter, Pass { gate: self.clone() }));
+            permits.push((waiter, Permit { gate: self.clone() }));
         }
         drop(state);
-        for (waiter, pass) in passes {
-            // A pass that nobody takes is given back as it is dropped.
-            let _ = waiter.send(pass);
+        for (waiter, permit) in permits {
+            // A permit that nobody takes is given back as it is dropped.
+            let _ = waiter.send(permit);
         }
     }
 }
@@ -130,7 +130,7 @@
 struct Waiting<'a> {
     gate: &'a Gate,
     key: WaiterKey,
-    receiver: oneshot::Receiver<Pass>,
+    receiver: oneshot::Receiver<Permit>,
 }
 
 impl Drop for Waiting<'_> {
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -139,11 +139,11 @@
         return AttemptOutcome::NotRun(cause);
     }
     let pool = gateway.pools.pool(instance, &gateway.beliefs);
-    let entered = pool
+    let permit = pool
         .gate()
-        .enter(bounds.urgency, bounds.connection_by)
+        .acquire(bounds.urgency, bounds.connection_by)
         .await;
-    let Some(_pass) = entered else {
+    let Some(_permit) = permit else {
         return AttemptOutcome::NotRun(NotRunCause::NoConnection);
     };
     let checkout = pool
@@ -187,7 +187,7 @@
             gateway
                 .wait_for_warm_up(lease.instance(), opened_at, answer_by)
                 .await;
-            let _pass = lease.gate().enter_at_once();
+            let _permit = lease.gate().acquire_immediately();
             run_on_lease(gateway, lease, principal, work, frame, answer_by).await
         }
         HeldConnection::Lent(lent) => {
--- a/crates/linkhold-gateway/src/request/attempt/outcome.rs
+++ b/crates/linkhold-gateway/src/request/attempt/outcome.rs
@@ -98,7 +98,7 @@
             .pools
             .pool(&instance, &gateway.beliefs)
             .gate()
-            .refused();
+            .record_refusal();
     }
     gateway.note_refusal(&instance, kind);
     AttemptOutcome::NotRun(NotRunCause::Refused(kind))
--- a/crates/linkhold-gateway/tests/gate.rs
+++ b/crates/linkhold-gateway/tests/gate.rs
@@ -30,18 +30,18 @@
 #[tokio::test(start_paused = true)]
 async fn no_more_than_the_limit_pass_and_whoever_waits_too_long_does_not() {
     let gate = gate();
-    let first = gate.enter(READ, far()).await;
-    let second = gate.enter(READ, far()).await;
+    let first = gate.acquire(READ, far()).await;
+    let second = gate.acquire(READ, far()).await;
     assert!(first.is_some() && second.is_some());
-    assert!(gate.enter(WRITE, Instant::now()).await.is_none());
+    assert!(gate.acquire(WRITE, Instant::now()).await.is_none());
     drop(first);
-    assert!(gate.enter(WRITE, Instant::now()).await.is_some());
+    assert!(gate.acquire(WRITE, Instant::now()).await.is_some());
 }
 
 #[tokio::test]
 async fn who_waits_goes_by_urgency_then_by_arrival() {
     let gate = gate();
-    let held = [gate.enter_at_once(), gate.enter_at_once()];
+    let held = [gate.acquire_immediately(), gate.acquire_immediately()];
     let order = Arc::new(Mutex::new(Vec::new()));
     let mut tasks = Vec::new();
     for (name, urgency) in [
@@ -52,9 +52,9 @@
     ] {
         let (gate, order) = (gate.clone(), order.clone());
         tasks.push(tokio::spawn(async move {
-            let pass = gate.enter(urgency, far()).await;
+            let permit = gate.acquire(urgency, far()).await;
             order.lock().unwrap().push(name);
-            drop(pass);
+            drop(permit);
         }));
         // Each waits before the next one comes.
         tokio::task::yield_now().await;
@@ -69,21 +69,21 @@
     assert_eq!(*order, ["write", "urgent read", "read", "later read"]);
 }
 
-/// A pass that was granted to someone who has left in the same moment is not
+/// A permit that was granted to someone who has left in the same moment is not
 /// lost.
 #[tokio::test]
 async fn a_pass_that_nobody_takes_goes_to_the_next() {
     let gate = gate();
-    let held = [gate.enter_at_once(), gate.enter_at_once()];
+    let held = [gate.acquire_immediately(), gate.acquire_immediately()];
     let leaving = tokio::spawn({
         let gate = gate.clone();
-        async move { gate.enter(WRITE, far()).await.is_some() }
+        async move { gate.acquire(WRITE, far()).await.is_some() }
     });
     tokio::task::yield_now().await;
     drop(held);
     leaving.abort();
-    // It has passed or has been ended; neither keeps a pass.
+    // It has passed or has been ended; neither keeps a permit.
     let _ = leaving.await;
-    assert!(gate.enter(READ, far()).await.is_some());
-    assert!(gate.enter(READ, far()).await.is_some());
+    assert!(gate.acquire(READ, far()).await.is_some());
+    assert!(gate.acquire(READ, far()).await.is_some());
 }
