--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -19,7 +19,7 @@
 use crate::gateway::Gateway;
 use crate::ports::{BackendErrorKind, BackendReply, Platform};
 use crate::request::batch::{TransactionFrame, Work};
-use crate::request::primary_answer::{acknowledged, speaks_for_primary};
+use crate::request::primary_answer::{requires_primary, withhold_if_replaced};
 use crate::request::principal::Principal;
 
 pub(crate) use held::{ConnectionOf, HeldConnection, finish_lease};
@@ -102,11 +102,11 @@
             if is_proved_by_owner(gateway, instance, work, frame, &attempt) {
                 gateway.beliefs.prove_lead(&instance.id);
             }
-            return acknowledged(gateway, instance, work, frame, attempt);
+            return withhold_if_replaced(gateway, instance, work, frame, attempt);
         }
     }
     let attempt = run_locally(gateway, instance, principal, work, frame, bounds).await;
-    acknowledged(gateway, instance, work, frame, attempt)
+    withhold_if_replaced(gateway, instance, work, frame, attempt)
 }
 
 /// Whether an owner ran `work` on an instance as a primary: it has proved that it leads.
@@ -118,7 +118,7 @@
     attempt: &AttemptOutcome<P>,
 ) -> bool {
     let is_answered = matches!(attempt, AttemptOutcome::Answered(_));
-    is_answered && speaks_for_primary(gateway, instance, work, frame)
+    is_answered && requires_primary(gateway, instance, work, frame)
 }
 
 /// Runs `work` on a connection of this node's own.
@@ -133,7 +133,7 @@
     if gateway.relays.bars(&instance.id, principal.regions) {
         return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
-    if speaks_for_primary(gateway, instance, work, frame)
+    if requires_primary(gateway, instance, work, frame)
         && let Err(cause) = lead_proof::prove(gateway, instance).await
     {
         return AttemptOutcome::NotRun(cause);
@@ -174,7 +174,7 @@
     answer_by: Instant,
 ) -> AttemptOutcome<P> {
     let frame = TransactionFrame::InTransaction;
-    let needs_permission = speaks_for_primary(gateway, held.instance(), work, frame);
+    let needs_permission = requires_primary(gateway, held.instance(), work, frame);
     if needs_permission && gateway.beliefs.is_replaced(held.instance()) {
         // The connection is closed with it, which undoes what is open on it.
         drop(held);
@@ -194,5 +194,5 @@
             forward::run_on(gateway, lent, principal, work, answer_by).await
         }
     };
-    acknowledged(gateway, &instance, work, frame, attempt)
+    withhold_if_replaced(gateway, &instance, work, frame, attempt)
 }
--- a/crates/linkhold-gateway/src/request/attempt/own_connection.rs
+++ b/crates/linkhold-gateway/src/request/attempt/own_connection.rs
@@ -14,7 +14,7 @@
 use crate::ports::{BackendConnection, BackendErrorKind, Platform};
 use crate::request::batch::{self, Batch, TransactionFrame, Work};
 use crate::request::exchange::{ExchangeOutcome, exchange_commands};
-use crate::request::primary_answer::{may_tell, speaks_for_primary};
+use crate::request::primary_answer::{may_relay_answer, requires_primary};
 use crate::request::principal::Principal;
 
 /// Runs `work` on a connection of this node's own that is held. Whatever a caller
@@ -54,7 +54,7 @@
         return held_off(lease, frame, after);
     }
     let sent_at = Instant::now();
-    let needs_permission = speaks_for_primary(gateway, lease.instance(), work, frame);
+    let needs_permission = requires_primary(gateway, lease.instance(), work, frame);
     // Whoever may have been left out when the primary was replaced acknowledged 20
     // commits of the old one in a cut of 26 s.
     if needs_permission && !gateway.beliefs.may_speak_for(lease.instance(), sent_at) {
@@ -73,7 +73,13 @@
         }
         ExchangeOutcome::Answered(replies)
             if needs_permission
-                && !may_tell(gateway, lease.instance(), work, &replies, proved.flatten()) =>
+                && !may_relay_answer(
+                    gateway,
+                    lease.instance(),
+                    work,
+                    &replies,
+                    proved.flatten(),
+                ) =>
         {
             log_unanswered(work, &lease, sent_at, "primary_may_be_replaced");
             if work.may_commit() {
@@ -173,7 +179,7 @@
     AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
 }
 
-/// Whether nothing that comes on a connection may be acknowledged, be it through a
+/// Whether nothing that comes on a connection may be withhold_if_replaced, be it through a
 /// peer.
 fn is_withheld<P: Platform>(gateway: &Gateway<P>, lease: &Lease<ConnectionOf<P>>) -> bool {
     gateway.beliefs.is_withheld(&lease.instance().id)
--- a/crates/linkhold-gateway/src/request/primary_answer.rs
+++ b/crates/linkhold-gateway/src/request/primary_answer.rs
@@ -13,7 +13,7 @@
 /// Whether what an instance answered as a primary may be told: its log ends in no older
 /// term than is known and not before `proved`, up to which it was proved to reach when it
 /// was asked, and a commit is acknowledged only while this node may speak for the instance.
-pub(crate) fn may_tell<P: Platform>(
+pub(crate) fn may_relay_answer<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
@@ -30,7 +30,7 @@
 
 /// Whether a statement's answer is told as that of a primary: it writes or ends a
 /// transaction that may have written, or must see all that was acknowledged.
-pub(crate) fn speaks_for_primary<P: Platform>(
+pub(crate) fn requires_primary<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
@@ -49,7 +49,7 @@
 
 /// A commit is not acknowledged if its instance has been replaced meanwhile, as far as
 /// this node has heard; whoever ran it for this node may not have.
-pub(crate) fn acknowledged<P: Platform>(
+pub(crate) fn withhold_if_replaced<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
@@ -57,7 +57,7 @@
     attempt: AttemptOutcome<P>,
 ) -> AttemptOutcome<P> {
     let is_answered = matches!(attempt, AttemptOutcome::Answered(_));
-    let commits = work.may_commit() && speaks_for_primary(gateway, instance, work, frame);
+    let commits = work.may_commit() && requires_primary(gateway, instance, work, frame);
     if is_answered && commits && gateway.beliefs.is_replaced(instance) {
         return AttemptOutcome::Lost;
     }
