--- a/crates/linkhold-gateway/src/request/attempt/held.rs
+++ b/crates/linkhold-gateway/src/request/attempt/held.rs
@@ -61,7 +61,7 @@
 /// Gives a connection of this node's own back, noting what its next user must
 /// undo first.
 pub(crate) fn finish_lease<C: BackendConnection>(mut lease: Lease<C>, status: TransactionStatus) {
-    if batch::is_worn(lease.pooled()) {
+    if batch::has_too_many_prepared(lease.pooled()) {
         return;
     }
     lease.pooled().needs_rollback = status != TransactionStatus::Idle;
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -85,7 +85,7 @@
     principal: Principal<'_>,
     work: &Work,
     frame: TransactionFrame,
-    bounds: AttemptLimits,
+    limits: AttemptLimits,
 ) -> AttemptOutcome<P> {
     let now = Instant::now();
     gateway
@@ -97,20 +97,20 @@
         } else {
             owners.permitted(&principal)
         };
-        let attempt = forward::run(gateway, &asked, instance, principal, work, frame, bounds).await;
+        let attempt = forward::run(gateway, &asked, instance, principal, work, frame, limits).await;
         if let Some(attempt) = attempt {
-            if is_proved_by_owner(gateway, instance, work, frame, &attempt) {
+            if is_verified_by_owner(gateway, instance, work, frame, &attempt) {
                 gateway.beliefs.prove_lead(&instance.id);
             }
             return withhold_if_replaced(gateway, instance, work, frame, attempt);
         }
     }
-    let attempt = run_locally(gateway, instance, principal, work, frame, bounds).await;
+    let attempt = run_locally(gateway, instance, principal, work, frame, limits).await;
     withhold_if_replaced(gateway, instance, work, frame, attempt)
 }
 
 /// Whether an owner ran `work` on an instance as a primary: it has proved that it leads.
-fn is_proved_by_owner<P: Platform>(
+fn is_verified_by_owner<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
@@ -128,7 +128,7 @@
     principal: Principal<'_>,
     work: &Work,
     frame: TransactionFrame,
-    bounds: AttemptLimits,
+    limits: AttemptLimits,
 ) -> AttemptOutcome<P> {
     if gateway.relays.bars(&instance.id, principal.regions) {
         return AttemptOutcome::NotRun(NotRunCause::Unreachable);
@@ -141,7 +141,7 @@
     let pool = gateway.pools.pool(instance, &gateway.beliefs);
     let permit = pool
         .gate()
-        .acquire(bounds.urgency, bounds.connection_by)
+        .acquire(limits.urgency, limits.connection_by)
         .await;
     let Some(_permit) = permit else {
         return AttemptOutcome::NotRun(NotRunCause::NoConnection);
@@ -150,8 +150,8 @@
         .checkout(
             gateway,
             principal,
-            bounds.urgency,
-            bounds.connection_by.into(),
+            limits.urgency,
+            limits.connection_by.into(),
         )
         .await;
     let lease = match checkout {
@@ -162,11 +162,11 @@
             ));
         }
     };
-    run_on_lease(gateway, lease, principal, work, frame, bounds.answer_by).await
+    run_on_lease(gateway, lease, principal, work, frame, limits.answer_by).await
 }
 
 /// Runs `work` in the transaction of a connection that is held.
-pub(crate) async fn run_on<P: Platform>(
+pub(crate) async fn run_on_held<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     held: HeldConnection<P>,
     principal: Principal<'_>,
--- a/crates/linkhold-gateway/src/request/attempt/outcome.rs
+++ b/crates/linkhold-gateway/src/request/attempt/outcome.rs
@@ -30,19 +30,19 @@
     }
 }
 
-/// What an instance's replies come to. The one at `main` is the statement's own.
-pub(super) fn answered<P: Platform>(
+/// What an instance's replies come to. The one at `statement_index` is the statement's own.
+pub(super) fn answered_outcome<P: Platform>(
     gateway: &Gateway<P>,
     lease: Lease<ConnectionOf<P>>,
     replies: &[BackendReply],
-    main: usize,
+    statement_index: usize,
     begin: Option<BeginReply>,
     sent_at: Instant,
 ) -> AttemptOutcome<P> {
     let status = replies[replies.len() - 1].status;
-    let reply = replies[main].clone();
+    let reply = replies[statement_index].clone();
     if let Some(kind) = refusal(begin.as_ref(), &reply) {
-        return refused(gateway, lease, kind, status);
+        return refused_outcome(gateway, lease, kind, status);
     }
     AttemptOutcome::Answered(Answer {
         reply,
@@ -53,16 +53,16 @@
 }
 
 /// What a connection that broke comes to, after the replies that came before.
-pub(super) fn broken<P: Platform>(
+pub(super) fn broken_outcome<P: Platform>(
     lease: Lease<ConnectionOf<P>>,
     error: &ExchangeError,
-    main: usize,
+    statement_index: usize,
 ) -> AttemptOutcome<P> {
     drop(lease);
     // A refusal that came before the break still proves that nothing ran.
     let refusal = error
         .replies
-        .get(main)
+        .get(statement_index)
         .and_then(BackendReply::error)
         .filter(|kind| proves_not_run(*kind));
     match refusal {
@@ -79,7 +79,7 @@
 
 /// Gives back the connection of a statement that was refused. `status` is the
 /// connection's state after the last reply.
-fn refused<P: Platform>(
+fn refused_outcome<P: Platform>(
     gateway: &Gateway<P>,
     mut lease: Lease<ConnectionOf<P>>,
     kind: BackendErrorKind,
--- a/crates/linkhold-gateway/src/request/attempt/own_connection.rs
+++ b/crates/linkhold-gateway/src/request/attempt/own_connection.rs
@@ -7,7 +7,7 @@
 use linkhold_core::service::session::TransactionStatus;
 use linkhold_events::Event;
 
-use super::outcome::{answered, broken};
+use super::outcome::{answered_outcome, broken_outcome};
 use super::{AttemptOutcome, BeginReply, ConnectionOf, NotRunCause};
 use crate::gateway::Gateway;
 use crate::pool::Lease;
@@ -32,13 +32,13 @@
         // The connection is closed, which undoes what is open on it.
         return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
-    if let Err(reason) = may_send(gateway, &lease, principal) {
-        return ineligible(work, &lease, reason);
+    if let Err(reason) = check_eligibility(gateway, &lease, principal) {
+        return refuse_ineligible(work, &lease, reason);
     }
     let batch = batch::build(lease.pooled(), principal.values, work, frame);
     let mut begin = None;
     if !batch.setup.is_empty() {
-        (lease, begin) = match set_up(gateway, lease, &batch, answer_by).await {
+        (lease, begin) = match prepare_connection(gateway, lease, &batch, answer_by).await {
             Ok(prepared) => prepared,
             Err(attempt) => return attempt,
         };
@@ -46,12 +46,12 @@
     let opened_at = lease.opened_at();
     gateway.prove_warm(lease.instance(), opened_at).await;
     // Preparing the connection may have taken its time.
-    if let Err(reason) = may_send(gateway, &lease, principal) {
-        return ineligible(work, &lease, reason);
+    if let Err(reason) = check_eligibility(gateway, &lease, principal) {
+        return refuse_ineligible(work, &lease, reason);
     }
     let is_urgent = work.may_commit() || frame == TransactionFrame::InTransaction;
     if let Err(after) = gateway.admit_to_instance(lease.instance(), opened_at, is_urgent) {
-        return held_off(lease, frame, after);
+        return refuse_for_warm_up(lease, frame, after);
     }
     let sent_at = Instant::now();
     let needs_permission = requires_primary(gateway, lease.instance(), work, frame);
@@ -69,7 +69,7 @@
         }
         ExchangeOutcome::Broken(error) => {
             log_unanswered(work, &lease, sent_at, "connection_lost");
-            broken(lease, &error, batch.main)
+            broken_outcome(lease, &error, batch.statement_index)
         }
         ExchangeOutcome::Answered(replies)
             if needs_permission
@@ -93,14 +93,21 @@
             if frame == TransactionFrame::ProvingPrimary {
                 begin = Some((sent_at, replies[0].clone()));
             }
-            answered(gateway, lease, &replies, batch.main, begin, sent_at)
+            answered_outcome(
+                gateway,
+                lease,
+                &replies,
+                batch.statement_index,
+                begin,
+                sent_at,
+            )
         }
     }
 }
 
 /// Has a connection take over the session's state and start the transaction.
 /// Nothing of the statement is sent before all of it was acknowledged.
-async fn set_up<P: Platform>(
+async fn prepare_connection<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     mut lease: Lease<ConnectionOf<P>>,
     batch: &Batch,
@@ -114,12 +121,15 @@
         }
     };
     let Some(refused) = replies.iter().position(|reply| reply.error().is_some()) else {
-        let begin = replies.into_iter().next_back().filter(|_| batch.opens);
+        let begin = replies
+            .into_iter()
+            .next_back()
+            .filter(|_| batch.begins_transaction);
         return Ok((lease, begin.map(|reply| (sent_at, reply))));
     };
     let kind = replies[refused].error().unwrap_or(BackendErrorKind::Ran);
     let instance = lease.instance().clone();
-    let only_begin_failed = batch.opens && refused + 1 == batch.setup.len();
+    let only_begin_failed = batch.begins_transaction && refused + 1 == batch.setup.len();
     if only_begin_failed {
         lease.pooled().needs_rollback = replies[refused].status != TransactionStatus::Idle;
         lease.release();
@@ -132,7 +142,7 @@
 }
 
 /// Whether a statement may be sent on a connection, as things stand now.
-fn may_send<P: Platform>(
+fn check_eligibility<P: Platform>(
     gateway: &Gateway<P>,
     lease: &Lease<ConnectionOf<P>>,
     principal: Principal<'_>,
@@ -146,7 +156,7 @@
 
 /// A statement that may not be sent. The connection is closed, which undoes what
 /// is open on it.
-fn ineligible<P: Platform>(
+fn refuse_ineligible<P: Platform>(
     work: &Work,
     lease: &Lease<ConnectionOf<P>>,
     reason: Ineligible,
@@ -162,7 +172,7 @@
 
 /// A statement that a cold instance has no room for. What is open on the
 /// connection is undone.
-fn held_off<P: Platform>(
+fn refuse_for_warm_up<P: Platform>(
     mut lease: Lease<ConnectionOf<P>>,
     frame: TransactionFrame,
     after: Duration,
@@ -179,7 +189,7 @@
     AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
 }
 
-/// Whether nothing that comes on a connection may be withhold_if_replaced, be it through a
+/// Whether nothing that comes on a connection may be acknowledged, be it through a
 /// peer.
 fn is_withheld<P: Platform>(gateway: &Gateway<P>, lease: &Lease<ConnectionOf<P>>) -> bool {
     gateway.beliefs.is_withheld(&lease.instance().id)
--- a/crates/linkhold-gateway/src/request/batch.rs
+++ b/crates/linkhold-gateway/src/request/batch.rs
@@ -15,7 +15,7 @@
 use crate::ports::Command;
 
 /// Prepared statements kept on a connection; beyond it, all are dropped.
-const MOST_PREPARED: usize = 200;
+const MAX_PREPARED: usize = 200;
 
 /// A caller's statement that runs on data.
 #[derive(Clone, Debug)]
@@ -88,11 +88,11 @@
     /// Must be acknowledged before the rest is sent.
     pub setup: Vec<Command>,
     /// The last command of the setup starts the statement's transaction.
-    pub opens: bool,
+    pub begins_transaction: bool,
     /// The statement and what goes with it in one write.
     pub commands: Vec<Command>,
     /// Place of the statement's reply among those to `commands`.
-    pub main: usize,
+    pub statement_index: usize,
 }
 
 /// Builds the batch and records what the connection will have been told.
@@ -106,38 +106,44 @@
     if std::mem::take(&mut pooled.needs_rollback) {
         setup.push(Command::Rollback);
     }
-    adopt_values(pooled, values, &mut setup);
-    let number = adopt_prepared(pooled, work, &mut setup);
+    add_value_changes(pooled, values, &mut setup);
+    let number = add_prepare(pooled, work, &mut setup);
     let mut batch = Batch {
         setup,
-        opens: false,
+        begins_transaction: false,
         commands: Vec::with_capacity(1),
-        main: 0,
+        statement_index: 0,
     };
     match frame {
-        TransactionFrame::InTransaction => batch.commands.push(statement(work, number, None)),
+        TransactionFrame::InTransaction => {
+            batch.commands.push(statement_command(work, number, None))
+        }
         TransactionFrame::Autocommit { fence } => {
-            batch.commands.push(statement(work, number, fence))
+            batch.commands.push(statement_command(work, number, fence))
         }
         TransactionFrame::Begin { read_only, fence } => {
             batch.setup.push(Command::Begin { read_only, fence });
-            batch.opens = true;
-            batch.commands.push(statement(work, number, None));
+            batch.begins_transaction = true;
+            batch.commands.push(statement_command(work, number, None));
         }
         TransactionFrame::ProvingPrimary => {
             batch.commands.push(Command::Begin {
                 read_only: false,
                 fence: None,
             });
-            batch.commands.push(statement(work, number, None));
+            batch.commands.push(statement_command(work, number, None));
             batch.commands.push(Command::Rollback);
-            batch.main = 1;
+            batch.statement_index = 1;
         }
     }
     batch
 }
 
-fn adopt_values<C>(pooled: &mut Pooled<C>, values: &SessionValues, commands: &mut Vec<Command>) {
+fn add_value_changes<C>(
+    pooled: &mut Pooled<C>,
+    values: &SessionValues,
+    commands: &mut Vec<Command>,
+) {
     let changes = pooled.state.adopt_values(values);
     if changes.discard {
         commands.push(Command::Discard);
@@ -147,7 +153,7 @@
     }
 }
 
-fn adopt_prepared<C>(
+fn add_prepare<C>(
     pooled: &mut Pooled<C>,
     work: &Work,
     commands: &mut Vec<Command>,
@@ -165,7 +171,7 @@
     Some(number)
 }
 
-fn statement(work: &Work, number: Option<usize>, fence: Option<Position>) -> Command {
+fn statement_command(work: &Work, number: Option<usize>, fence: Option<Position>) -> Command {
     match work {
         Work::Text { id, text, .. } | Work::Commit { id, text } => Command::Run {
             id: id.clone(),
@@ -182,6 +188,6 @@
 }
 
 /// Whether a connection has so much prepared that it is better closed.
-pub(crate) fn is_worn<C>(pooled: &Pooled<C>) -> bool {
-    pooled.state.prepared.len() > MOST_PREPARED
+pub(crate) fn has_too_many_prepared<C>(pooled: &Pooled<C>) -> bool {
+    pooled.state.prepared.len() > MAX_PREPARED
 }
--- a/crates/linkhold-gateway/src/request/exchange.rs
+++ b/crates/linkhold-gateway/src/request/exchange.rs
@@ -13,9 +13,9 @@
 use crate::request::attempt::ConnectionOf;
 
 /// Silence after which an instance is looked at, at the least.
-const LEAST_SILENCE: Duration = Duration::from_millis(220);
+const MIN_PROBE_SILENCE: Duration = Duration::from_millis(220);
 /// Silence after which an instance is looked at, in its usual latencies.
-const SILENCE_LATENCIES: u32 = 6;
+const PROBE_SILENCE_LATENCIES: u32 = 6;
 
 /// How an exchange of commands and replies ended.
 pub(crate) enum ExchangeOutcome {
@@ -92,13 +92,13 @@
     answer_by: Instant,
 ) -> Option<Result<Vec<BackendReply>, ExchangeError>> {
     let instance = lease.instance().clone();
-    let look_at = sent_at + silence_limit(gateway, &instance);
+    let probe_at = sent_at + silence_limit(gateway, &instance);
     let exchange = lease.pooled().connection.exchange(commands);
     tokio::pin!(exchange);
-    if look_at < answer_by {
+    if probe_at < answer_by {
         tokio::select! {
             replies = &mut exchange => return Some(replies),
-            () = sleep_until(look_at.into()) => gateway.look_at_silent(&instance, sent_at),
+            () = sleep_until(probe_at.into()) => gateway.look_at_silent(&instance, sent_at),
         }
     }
     timeout_at(answer_by.into(), exchange).await.ok()
@@ -110,5 +110,5 @@
         .inspect(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
-    LEAST_SILENCE.max(usual * SILENCE_LATENCIES)
+    MIN_PROBE_SILENCE.max(usual * PROBE_SILENCE_LATENCIES)
 }
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -34,21 +34,21 @@
 use crate::request::session_positions::SessionPositions;
 
 /// Pause before an instance that was full is tried again; it doubles up to
-/// [`LONGEST_BUSY_PAUSE`].
-const BUSY_PAUSE: Duration = Duration::from_millis(10);
+/// [`MAX_BUSY_PAUSE`].
+const INITIAL_BUSY_PAUSE: Duration = Duration::from_millis(10);
 /// Longest pause between tries on the same instance.
-const LONGEST_BUSY_PAUSE: Duration = Duration::from_millis(80);
+const MAX_BUSY_PAUSE: Duration = Duration::from_millis(80);
 /// Pause before a round over all instances is begun again.
 const ROUND_PAUSE: Duration = Duration::from_millis(20);
 /// Longest wait for a connection while other instances are left to try.
-const IMPATIENT_WAIT: Duration = Duration::from_millis(30);
+const CONNECTION_WAIT_WITH_ALTERNATIVES: Duration = Duration::from_millis(30);
 /// Time one instance gets for a read while others are left to try, at the least.
-const LEAST_READ_ATTEMPT: Duration = Duration::from_millis(350);
-/// As [`LEAST_READ_ATTEMPT`], in the instance's usual latencies.
+const MIN_READ_ATTEMPT: Duration = Duration::from_millis(350);
+/// As [`MIN_READ_ATTEMPT`], in the instance's usual latencies.
 const READ_ATTEMPT_LATENCIES: u32 = 10;
 
 /// A statement, its session and its limits.
-pub(crate) struct Unit<'a> {
+pub(crate) struct StatementContext<'a> {
     pub route: &'a Arc<Route>,
     /// Whose connection it needs.
     pub holder: &'a ConnectionHolder,
@@ -58,9 +58,9 @@
     pub received_at: Instant,
 }
 
-impl Unit<'_> {
+impl StatementContext<'_> {
     /// Until when it may wait for room or for a primary.
-    pub fn wait_until(&self) -> Instant {
+    pub fn wait_deadline(&self) -> Instant {
         self.received_at + waiting::patience(self.route.latency_objective)
     }
 
@@ -100,47 +100,48 @@
 /// Runs a statement that stands alone or opens a transaction.
 pub(crate) async fn run<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     positions: &mut SessionPositions,
     work: &Work,
     mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
-    let needs_primary = unit.route.consistency == Consistency::Latest
+    let needs_primary = context.route.consistency == Consistency::Latest
         || mode == TransactionMode::ReadWrite
         || work.access() == Access::Write;
     if needs_primary {
-        run_on_primary(gateway, unit, work, mode).await
+        run_on_primary(gateway, context, work, mode).await
     } else {
-        run_on_fresh(gateway, unit, positions, work, mode).await
+        run_on_fresh_instance(gateway, context, positions, work, mode).await
     }
 }
 
 /// Runs a statement on the primary.
 async fn run_on_primary<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     work: &Work,
     mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
     let frame = primary_frame(work, mode);
     let repeatable = work.access() == Access::Read && mode == TransactionMode::Autocommit;
     let mut reason = NotRun::NoPrimary;
-    let mut pause = BUSY_PAUSE;
+    let mut pause = INITIAL_BUSY_PAUSE;
     loop {
-        let primary = wait_for_primary(gateway, unit, reason).await?;
-        let bounds = AttemptLimits {
-            urgency: unit.urgency(Access::Write),
-            connection_by: unit.wait_until(),
-            answer_by: unit.answer_by(),
+        let primary = wait_for_primary(gateway, context, reason).await?;
+        let limits = AttemptLimits {
+            urgency: context.urgency(Access::Write),
+            connection_by: context.wait_deadline(),
+            answer_by: context.answer_by(),
         };
-        let attempt = attempt::run(gateway, &primary, unit.principal(), work, frame, bounds).await;
+        let attempt =
+            attempt::run(gateway, &primary, context.principal(), work, frame, limits).await;
         match attempt {
             AttemptOutcome::Answered(answer) => {
-                note_primary_answer(gateway, &primary, &answer, work, mode);
+                record_primary_answer(gateway, &primary, &answer, work, mode);
                 return Ok(answer);
             }
             AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
-                if Instant::now() + after >= unit.wait_until() =>
+                if Instant::now() + after >= context.wait_deadline() =>
             {
                 let reason = NotRun::WarmingUp { retry_after: after };
                 return Err(Failure::NotRun(reason));
@@ -151,22 +152,26 @@
             }
             AttemptOutcome::NotRun(cause) => {
                 reason = refusal_reason(cause);
-                retrying(gateway, work, &primary, cause);
+                record_retry(gateway, work, &primary, cause);
                 if cause != NotRunCause::Refused(BackendErrorKind::ReadOnly) {
                     sleep(pause).await;
-                    pause = (pause * 2).min(LONGEST_BUSY_PAUSE);
+                    pause = (pause * 2).min(MAX_BUSY_PAUSE);
                 }
             }
             AttemptOutcome::Lost if repeatable => reason = NotRun::BackendUnavailable,
-            AttemptOutcome::Lost => return Err(lost(mode, Unknown::ConnectionLost)),
-            AttemptOutcome::TimedOut => return Err(lost(mode, Unknown::TimedOut)),
+            AttemptOutcome::Lost => {
+                return Err(failure_after_lost_answer(mode, Unknown::ConnectionLost));
+            }
+            AttemptOutcome::TimedOut => {
+                return Err(failure_after_lost_answer(mode, Unknown::TimedOut));
+            }
         }
     }
 }
 
 /// What is told when a statement was sent and no answer came. The first
 /// statement of a transaction is undone with its connection.
-fn lost(mode: TransactionMode, unknown: Unknown) -> Failure {
+fn failure_after_lost_answer(mode: TransactionMode, unknown: Unknown) -> Failure {
     match mode {
         TransactionMode::Autocommit => Failure::Unknown(unknown),
         TransactionMode::ReadWrite | TransactionMode::ReadOnly => {
@@ -191,79 +196,79 @@
 /// A primary that may be tried, waited for as long as the statement may wait.
 async fn wait_for_primary<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     reason: NotRun,
 ) -> Result<Arc<Instance>, Failure> {
-    let wait_until = unit.wait_until();
+    let wait_deadline = context.wait_deadline();
     let mut changes = gateway.beliefs.subscribe();
     loop {
         changes.mark_unchanged();
         let now = Instant::now();
-        if now >= wait_until {
+        if now >= wait_deadline {
             return Err(Failure::NotRun(reason));
         }
-        let service = &unit.route.service;
-        let barred = match gateway.beliefs.usable_primary(service, now) {
-            Some(primary) => match primary_barrier(gateway, unit, &primary) {
+        let service = &context.route.service;
+        let ineligible = match gateway.beliefs.usable_primary(service, now) {
+            Some(primary) => match primary_ineligibility(gateway, context, &primary) {
                 None => return Ok(primary),
-                barred => barred,
+                ineligible => ineligible,
             },
             None => {
                 gateway.suspected_primaries.add(service);
-                gateway.beliefs.barrier(service, unit.regions)
+                gateway.beliefs.barrier(service, context.regions)
             }
         };
-        if let Some(barred) = barred
-            && !is_switch_over_due(gateway, unit)
+        if let Some(ineligible) = ineligible
+            && !is_switchover_due(gateway, context)
         {
-            return Err(Failure::NotRun(primary_refusal(barred)));
+            return Err(Failure::NotRun(primary_refusal(ineligible)));
         }
         // An instance that is passed over after a failure becomes usable again
         // without a change that would wake this.
-        let next_look = wait_until.min(now + ROUND_PAUSE * 2);
-        let _ = timeout_at(next_look.into(), changes.changed()).await;
+        let next_check = wait_deadline.min(now + ROUND_PAUSE * 2);
+        let _ = timeout_at(next_check.into(), changes.changed()).await;
     }
 }
 
 /// Why a primary may not run a statement.
-fn primary_barrier<P: Platform>(
+fn primary_ineligibility<P: Platform>(
     gateway: &Gateway<P>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     primary: &Instance,
 ) -> Option<Ineligible> {
     let beliefs = &gateway.beliefs;
     beliefs
-        .eligibility(primary, unit.regions, Engagement::Bound)
+        .eligibility(primary, context.regions, Engagement::Bound)
         .err()
 }
 
 /// Whether the primary is about to move to where a statement may be run.
-fn is_switch_over_due<P: Platform>(gateway: &Gateway<P>, unit: &Unit<'_>) -> bool {
-    let service = &unit.route.service;
+fn is_switchover_due<P: Platform>(gateway: &Gateway<P>, context: &StatementContext<'_>) -> bool {
+    let service = &context.route.service;
     let beliefs = &gateway.beliefs;
     let wanted = beliefs.primary_regions(service);
-    let is_among = |region: &RegionName| unit.regions.permits(region);
-    let serves = !unit.regions.is_bound() || wanted.is_bound() && wanted.names().all(is_among);
+    let is_among = |region: &RegionName| context.regions.permits(region);
+    let serves = !context.regions.is_bound() || wanted.is_bound() && wanted.names().all(is_among);
     serves && beliefs.has_place_for_primary(service)
 }
 
 /// What is told where no primary may run a statement.
-fn primary_refusal(barred: Ineligible) -> NotRun {
-    match barred {
+fn primary_refusal(ineligible: Ineligible) -> NotRun {
+    match ineligible {
         Ineligible::OutsideRegions => NotRun::PrimaryOutsideRegion,
         Ineligible::Evacuated => NotRun::Evacuated,
     }
 }
 
 /// What is told where no instance may run a read.
-fn read_refusal(barred: Ineligible) -> NotRun {
-    match barred {
+fn read_refusal(ineligible: Ineligible) -> NotRun {
+    match ineligible {
         Ineligible::OutsideRegions => NotRun::NoInstanceInRegion,
         Ineligible::Evacuated => NotRun::Evacuated,
     }
 }
 
-fn note_primary_answer<P: Platform>(
+fn record_primary_answer<P: Platform>(
     gateway: &Gateway<P>,
     primary: &Instance,
     answer: &Answer<P>,
@@ -284,9 +289,9 @@
 }
 
 /// Runs a read on any instance that is proved to be fresh enough.
-async fn run_on_fresh<P: Platform>(
+async fn run_on_fresh_instance<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     positions: &mut SessionPositions,
     work: &Work,
     mode: TransactionMode,
@@ -296,20 +301,21 @@
     let mut rounds = 0_u32;
     loop {
         let now = Instant::now();
-        if now >= unit.answer_by() {
+        if now >= context.answer_by() {
             return Err(Failure::NotRun(reason));
         }
-        let service = &unit.route.service;
-        if let Some(barred) = gateway.beliefs.barrier(service, unit.regions) {
-            return Err(Failure::NotRun(read_refusal(barred)));
+        let service = &context.route.service;
+        if let Some(ineligible) = gateway.beliefs.barrier(service, context.regions) {
+            return Err(Failure::NotRun(read_refusal(ineligible)));
         }
-        let fence = read_fence(gateway, unit, positions, rounds).await?;
+        let fence = read_fence(gateway, context, positions, rounds).await?;
         let now = Instant::now();
-        let chosen = gateway
-            .beliefs
-            .choose_for_read(service, fence, &excluded, unit.regions, now);
+        let chosen =
+            gateway
+                .beliefs
+                .choose_for_read(service, fence, &excluded, context.regions, now);
         let Some((instance, is_last)) = chosen else {
-            if now + ROUND_PAUSE >= unit.wait_until() {
+            if now + ROUND_PAUSE >= context.wait_deadline() {
                 return Err(Failure::NotRun(reason));
             }
             sleep(ROUND_PAUSE).await;
@@ -317,9 +323,10 @@
             rounds += 1;
             continue;
         };
-        let bounds = read_bounds(gateway, unit, &instance, is_last, now);
+        let limits = read_limits(gateway, context, &instance, is_last, now);
         let frame = read_frame(mode, fence);
-        let attempt = attempt::run(gateway, &instance, unit.principal(), work, frame, bounds).await;
+        let attempt =
+            attempt::run(gateway, &instance, context.principal(), work, frame, limits).await;
         match attempt {
             AttemptOutcome::Answered(answer) => {
                 gateway
@@ -329,7 +336,7 @@
             }
             AttemptOutcome::NotRun(cause) => {
                 reason = refusal_reason(cause);
-                retrying(gateway, work, &instance, cause);
+                record_retry(gateway, work, &instance, cause);
                 if let NotRunCause::WarmingUp(after) = cause {
                     let beliefs = &gateway.beliefs;
                     beliefs.observe(&instance.id, |health| health.was_busy(now, after));
@@ -341,7 +348,7 @@
                 return Err(Failure::NotRun(NotRun::TransactionAborted));
             }
             AttemptOutcome::Lost => reason = NotRun::BackendUnavailable,
-            AttemptOutcome::TimedOut if Instant::now() >= unit.answer_by() => {
+            AttemptOutcome::TimedOut if Instant::now() >= context.answer_by() => {
                 return Err(Failure::Unknown(Unknown::TimedOut));
             }
             AttemptOutcome::TimedOut => reason = NotRun::Overloaded,
@@ -354,20 +361,20 @@
 /// evidence: the position may belong to a log that was rolled back.
 async fn read_fence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     positions: &mut SessionPositions,
     rounds: u32,
 ) -> Result<Position, Failure> {
-    let service = &unit.route.service;
-    let staleness = match unit.route.consistency {
+    let service = &context.route.service;
+    let staleness = match context.route.consistency {
         Consistency::Latest => Duration::ZERO,
         Consistency::BoundedStaleness(most) | Consistency::ReadYourWrites(most) => most,
     };
-    let oldest = unit
+    let oldest = context
         .received_at
         .checked_sub(staleness)
-        .unwrap_or(unit.received_at);
-    let reads_own_writes = matches!(unit.route.consistency, Consistency::ReadYourWrites(_));
+        .unwrap_or(context.received_at);
+    let reads_own_writes = matches!(context.route.consistency, Consistency::ReadYourWrites(_));
     let moment = if reads_own_writes && !positions.has_baseline(service) {
         positions.opened_at.max(oldest)
     } else {
@@ -377,7 +384,7 @@
         probe::ask_in_background(gateway, service, Instant::now());
     }
     refresh_ahead(gateway, service, staleness);
-    let evidence = probe::fence(gateway, service, moment, unit.wait_until())
+    let evidence = probe::fence(gateway, service, moment, context.wait_deadline())
         .await
         .ok_or(Failure::NotRun(NotRun::NoFreshInstance))?;
     if !reads_own_writes {
@@ -404,9 +411,9 @@
     }
 }
 
-fn read_bounds<P: Platform>(
+fn read_limits<P: Platform>(
     gateway: &Gateway<P>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     instance: &Instance,
     is_last: bool,
     now: Instant,
@@ -416,14 +423,17 @@
         .inspect(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
-    let attempt = LEAST_READ_ATTEMPT.max(usual * READ_ATTEMPT_LATENCIES);
+    let attempt = MIN_READ_ATTEMPT.max(usual * READ_ATTEMPT_LATENCIES);
     let (connection_by, answer_by) = if is_last {
-        (unit.wait_until(), unit.answer_by())
+        (context.wait_deadline(), context.answer_by())
     } else {
-        (now + IMPATIENT_WAIT, unit.answer_by().min(now + attempt))
+        (
+            now + CONNECTION_WAIT_WITH_ALTERNATIVES,
+            context.answer_by().min(now + attempt),
+        )
     };
     AttemptLimits {
-        urgency: unit.urgency(Access::Read),
+        urgency: context.urgency(Access::Read),
         connection_by,
         answer_by,
     }
@@ -456,7 +466,7 @@
     }
 }
 
-fn retrying<P: Platform>(
+fn record_retry<P: Platform>(
     gateway: &Gateway<P>,
     work: &Work,
     instance: &Instance,
--- a/crates/linkhold-gateway/src/request/transaction.rs
+++ b/crates/linkhold-gateway/src/request/transaction.rs
@@ -63,7 +63,7 @@
     }
 
     /// Logs that its instance, or a node on the way to it, stands outside them now.
-    pub fn log_outside(&self, regions: &AllowedRegions) {
+    pub fn log_outside_regions(&self, regions: &AllowedRegions) {
         Event::info("transaction_outside_regions")
             .field("instance", &self.held.instance().id)
             .field("zone", &self.held.instance().zone)
@@ -82,7 +82,7 @@
         self.wrote |= work.access() == Access::Write;
         let answer_by = received_at + self.admitted.route.statement_timeout;
         let principal = principal(&self.admitted, session);
-        let attempt = attempt::run_on(gateway, self.held, principal, work, answer_by).await;
+        let attempt = attempt::run_on_held(gateway, self.held, principal, work, answer_by).await;
         match attempt {
             AttemptOutcome::Answered(Answer { reply, held, .. }) => {
                 self.held = held;
@@ -106,12 +106,16 @@
         answer_by: Instant,
     ) -> Result<Committed, Failure> {
         let principal = principal(&self.admitted, session);
-        let attempt = attempt::run_on(gateway, self.held, principal, work, answer_by).await;
+        let attempt = attempt::run_on_held(gateway, self.held, principal, work, answer_by).await;
         let answer = match attempt {
             AttemptOutcome::Answered(answer) => answer,
             AttemptOutcome::NotRun(_) => return Err(Failure::NotRun(NotRun::TransactionAborted)),
-            AttemptOutcome::Lost => return Err(commit_lost(self.wrote, Unknown::ConnectionLost)),
-            AttemptOutcome::TimedOut => return Err(commit_lost(self.wrote, Unknown::TimedOut)),
+            AttemptOutcome::Lost => {
+                return Err(lost_commit_failure(self.wrote, Unknown::ConnectionLost));
+            }
+            AttemptOutcome::TimedOut => {
+                return Err(lost_commit_failure(self.wrote, Unknown::TimedOut));
+            }
         };
         let succeeded = answer.reply.error().is_none();
         let position = answer.reply.position.filter(|_| self.wrote && succeeded);
@@ -157,12 +161,12 @@
 }
 
 /// Gives back the connection of a statement that stood alone.
-pub(crate) fn finish_alone<P: Platform>(answer: Answer<P>) -> BackendReply {
+pub(crate) fn finish_autocommit<P: Platform>(answer: Answer<P>) -> BackendReply {
     answer.held.finish(answer.reply.status);
     answer.reply
 }
 
-fn commit_lost(wrote: bool, unknown: Unknown) -> Failure {
+fn lost_commit_failure(wrote: bool, unknown: Unknown) -> Failure {
     if wrote {
         Failure::Unknown(unknown)
     } else {
--- a/crates/linkhold-gateway/src/session/operations.rs
+++ b/crates/linkhold-gateway/src/session/operations.rs
@@ -16,8 +16,8 @@
 };
 use crate::request::attempt::Answer;
 use crate::request::batch::Work;
-use crate::request::statement::{self, TransactionMode, Unit, is_success};
-use crate::request::transaction::{OpenTransaction, finish_alone};
+use crate::request::statement::{self, StatementContext, TransactionMode, is_success};
+use crate::request::transaction::{OpenTransaction, finish_autocommit};
 
 impl<P: Platform, C: CallerConnection> Session<P, C> {
     /// Runs a statement; returns what its caller is told.
@@ -179,7 +179,7 @@
             regions,
         } = self.admitted()?;
         self.take_from_budget(&route, &holder, received_at).await?;
-        let unit = Unit {
+        let context = StatementContext {
             route: &route,
             holder: &holder,
             regions: &regions,
@@ -187,9 +187,9 @@
             received_at,
         };
         let mode = TransactionMode::Autocommit;
-        let ran = statement::run(&self.gateway, &unit, &mut self.positions, work, mode).await;
+        let ran = statement::run(&self.gateway, &context, &mut self.positions, work, mode).await;
         let answer = self.settle_budget(&holder, ran)?;
-        let reply = finish_alone(answer);
+        let reply = finish_autocommit(answer);
         if work.access() == Access::Write
             && is_success(&reply)
             && let Some(position) = reply.position
@@ -213,7 +213,7 @@
         // first statement: the caller may have paused in between.
         self.take_from_budget(&admitted.route, &admitted.holder, received_at)
             .await?;
-        let unit = Unit {
+        let context = StatementContext {
             route: &admitted.route,
             holder: &admitted.holder,
             regions: &admitted.regions,
@@ -225,7 +225,7 @@
         } else {
             TransactionMode::ReadWrite
         };
-        let ran = statement::run(&self.gateway, &unit, &mut self.positions, work, mode).await;
+        let ran = statement::run(&self.gateway, &context, &mut self.positions, work, mode).await;
         let answer = self.settle_budget(&admitted.holder, ran)?;
         let reply = answer.reply.clone();
         let open = OpenTransaction::new(admitted, answer.held, work.access());
@@ -269,7 +269,7 @@
                 Ok(open)
             }
             Ok(regions) => {
-                open.log_outside(&regions);
+                open.log_outside_regions(&regions);
                 open.abandon();
                 Err(Failure::NotRun(NotRun::TransactionAborted))
             }
@@ -372,7 +372,7 @@
     ) -> Result<BackendReply, Failure> {
         self.take_from_budget(&admitted.route, &admitted.holder, received_at)
             .await?;
-        let unit = Unit {
+        let context = StatementContext {
             route: &admitted.route,
             holder: &admitted.holder,
             regions: &admitted.regions,
@@ -384,9 +384,9 @@
         } else {
             TransactionMode::ReadWrite
         };
-        let ran = statement::run(&self.gateway, &unit, &mut self.positions, work, mode).await;
+        let ran = statement::run(&self.gateway, &context, &mut self.positions, work, mode).await;
         let answer = self.settle_budget(&admitted.holder, ran)?;
-        Ok(finish_alone(answer))
+        Ok(finish_autocommit(answer))
     }
 
     async fn roll_back(&mut self) -> CallerReply {
