--- a/crates/linkhold-gateway/src/request/attempt/held.rs
+++ b/crates/linkhold-gateway/src/request/attempt/held.rs
@@ -17,14 +17,14 @@
 
 /// A connection that is held for a session.
 pub(crate) enum HeldConnection<P: Platform> {
-    /// One of this node's own.
+    /// A connection of this node.
     Own(Lease<ConnectionOf<P>>),
-    /// One that an owner holds for this node.
+    /// A connection that an owner holds for this node.
     Lent(LentConnection),
 }
 
 impl<P: Platform> HeldConnection<P> {
-    /// The instance it leads to.
+    /// The instance at the other end.
     pub fn instance(&self) -> &Arc<Instance> {
         match self {
             Self::Own(lease) => lease.instance(),
@@ -32,8 +32,7 @@
         }
     }
 
-    /// Whether neither its instance nor a node on the way to it stands outside the
-    /// allowed regions.
+    /// Whether the instance and every node on the path to it are in the allowed regions.
     pub fn is_within(&self, gateway: &Gateway<P>, regions: &AllowedRegions) -> bool {
         let permits_zone = |zone: &str| regions.permits(&gateway.settings.places.region(zone));
         match self {
@@ -48,8 +47,8 @@
         }
     }
 
-    /// Gives the connection back. What is still open on it in `status` is rolled
-    /// back before its next use.
+    /// Gives the connection back. A transaction that `status` says is still open is
+    /// rolled back before the next use.
     pub fn finish(self, status: TransactionStatus) {
         match self {
             Self::Own(lease) => finish_lease(lease, status),
@@ -58,8 +57,8 @@
     }
 }
 
-/// Gives a connection of this node's own back, noting what its next user must
-/// undo first.
+/// Gives a connection of this node back and marks it for rollback before its next use
+/// unless it is idle. Closes it if it has too many prepared statements.
 pub(crate) fn finish_lease<C: BackendConnection>(mut lease: Lease<C>, status: TransactionStatus) {
     if batch::has_too_many_prepared(lease.pooled()) {
         return;
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -1,7 +1,8 @@
-//! One try of a statement on one instance.
+//! One attempt to run a statement on one instance.
 //!
-//! Here it is chosen on whose connection it goes; [`own_connection`] sends it on one of this
-//! node's own, and [`outcome`] says what came of it.
+//! This module chooses between a connection of this node and one of an owner.
+//! [`own_connection`] sends the statement on a connection of this node; [`outcome`]
+//! classifies the replies.
 
 mod held;
 mod outcome;
@@ -26,22 +27,22 @@
 pub(crate) use outcome::checkout_failure_cause;
 pub(crate) use own_connection::run_on_lease;
 
-/// AttemptLimits of one try.
+/// Limits of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptLimits {
-    /// Rank among those who wait for a connection.
+    /// Rank in the queue for a connection.
     pub urgency: Urgency,
-    /// Until when it may wait for one.
+    /// Until when the attempt may wait for a connection.
     pub connection_by: Instant,
-    /// Until when the answer must have come.
+    /// Until when the answer must have arrived.
     pub answer_by: Instant,
 }
 
-/// How a try ended.
+/// How an attempt ended.
 pub(crate) enum AttemptOutcome<P: Platform> {
     /// The instance answered the statement.
     Answered(Answer<P>),
-    /// Nothing of the statement ran; the connection may have been given back.
+    /// The statement did not run; the connection may have been given back.
     NotRun(NotRunCause),
     /// The connection broke after the statement was sent.
     Lost,
@@ -52,13 +53,13 @@
 /// When a transaction's start was sent, and the reply to it.
 pub(crate) type BeginReply = (Instant, BackendReply);
 
-/// An instance's answer, with the connection it came on.
+/// An instance's answer and the connection on which it arrived.
 pub(crate) struct Answer<P: Platform> {
     pub reply: BackendReply,
-    /// The start of the transaction, if there was one.
+    /// The reply to the start of the transaction, if the attempt started one.
     pub begin: Option<BeginReply>,
     pub held: HeldConnection<P>,
-    /// When the batch was sent, measured before.
+    /// A time just before the batch was sent.
     pub sent_at: Instant,
 }
 
@@ -71,14 +72,14 @@
     Unreachable,
     /// The instance refused it.
     Refused(BackendErrorKind),
-    /// It may not be sent to the instance.
+    /// The statement may not be sent to the instance.
     Ineligible(Ineligible),
-    /// The instance may be cold; there is room after this time.
+    /// The instance may be cold and accepts more statements after this time.
     WarmingUp(Duration),
 }
 
-/// Runs `work` on `instance`: on a connection of this node's own or, where few
-/// nodes own the connections, on one of theirs.
+/// Runs `work` on `instance`: on a connection of this node or, if only a few nodes own
+/// the connections to the instance, on a connection of an owner.
 pub(crate) async fn run<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     instance: &Arc<Instance>,
@@ -109,7 +110,7 @@
     withhold_if_replaced(gateway, instance, work, frame, attempt)
 }
 
-/// Whether an owner ran `work` on an instance as a primary: it has proved that it leads.
+/// Whether an owner ran `work` on an instance as a primary, which verifies the primary.
 fn is_verified_by_owner<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
@@ -121,7 +122,7 @@
     is_answered && requires_primary(gateway, instance, work, frame)
 }
 
-/// Runs `work` on a connection of this node's own.
+/// Runs `work` on a connection of this node.
 pub(crate) async fn run_locally<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     instance: &Arc<Instance>,
@@ -165,7 +166,7 @@
     run_on_lease(gateway, lease, principal, work, frame, limits.answer_by).await
 }
 
-/// Runs `work` in the transaction of a connection that is held.
+/// Runs `work` in the open transaction of a held connection.
 pub(crate) async fn run_on_held<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     held: HeldConnection<P>,
@@ -176,7 +177,7 @@
     let frame = TransactionFrame::InTransaction;
     let needs_permission = requires_primary(gateway, held.instance(), work, frame);
     if needs_permission && gateway.beliefs.is_replaced(held.instance()) {
-        // The connection is closed with it, which undoes what is open on it.
+        // This closes the connection, which undoes the open transaction.
         drop(held);
         return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
--- a/crates/linkhold-gateway/src/request/attempt/outcome.rs
+++ b/crates/linkhold-gateway/src/request/attempt/outcome.rs
@@ -1,4 +1,4 @@
-//! What an instance's replies come to, and whether they prove that nothing ran.
+//! The outcome of an attempt, and whether it proves that the statement did not run.
 
 use std::time::Instant;
 
@@ -10,8 +10,8 @@
 use crate::pool::{CheckoutError, Lease};
 use crate::ports::{BackendErrorKind, BackendReply, ConnectError, ExchangeError, Platform};
 
-/// Why no connection was had. An instance that has none left lives: nobody is to
-/// look whether it is lost, which would take yet more of its connections.
+/// Why a checkout failed. An instance that has no connection left is alive: it is not
+/// reported as unreachable, since probing it would take more of its connections.
 pub(crate) fn checkout_failure_cause<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
@@ -30,7 +30,7 @@
     }
 }
 
-/// What an instance's replies come to. The one at `statement_index` is the statement's own.
+/// The outcome of complete replies. The reply at `statement_index` is the statement's.
 pub(super) fn answered_outcome<P: Platform>(
     gateway: &Gateway<P>,
     lease: Lease<ConnectionOf<P>>,
@@ -52,14 +52,14 @@
     })
 }
 
-/// What a connection that broke comes to, after the replies that came before.
+/// The outcome of a connection that broke, given the replies that arrived before.
 pub(super) fn broken_outcome<P: Platform>(
     lease: Lease<ConnectionOf<P>>,
     error: &ExchangeError,
     statement_index: usize,
 ) -> AttemptOutcome<P> {
     drop(lease);
-    // A refusal that came before the break still proves that nothing ran.
+    // A refusal that arrived before the break still proves that nothing ran.
     let refusal = error
         .replies
         .get(statement_index)
@@ -71,14 +71,14 @@
     }
 }
 
-/// The refusal in an answer that proves that the statement did not run.
+/// The refusal that proves that the statement did not run; `None` if there is none.
 fn refusal(begin: Option<&BeginReply>, reply: &BackendReply) -> Option<BackendErrorKind> {
     let begin_refused = begin.and_then(|(_, reply)| reply.error());
     begin_refused.or_else(|| reply.error().filter(|kind| proves_not_run(*kind)))
 }
 
-/// Gives back the connection of a statement that was refused. `status` is the
-/// connection's state after the last reply.
+/// The outcome of a refusal. Gives the connection back; `status` is its state after the
+/// last reply.
 fn refused_outcome<P: Platform>(
     gateway: &Gateway<P>,
     mut lease: Lease<ConnectionOf<P>>,
@@ -88,7 +88,8 @@
     let instance = lease.instance().clone();
     lease.pooled().needs_rollback = status != TransactionStatus::Idle;
     if kind == BackendErrorKind::UnknownPrepared {
-        // What was recorded as prepared is not there: do not use it again.
+        // The recorded prepared statements do not exist on the instance: the
+        // connection must not be used again.
         drop(lease);
     } else {
         lease.release();
@@ -104,7 +105,7 @@
     AttemptOutcome::NotRun(NotRunCause::Refused(kind))
 }
 
-/// Whether an error is a promise that the statement did not run.
+/// Whether an error guarantees that the statement did not run.
 fn proves_not_run(kind: BackendErrorKind) -> bool {
     match kind {
         BackendErrorKind::Busy
--- a/crates/linkhold-gateway/src/request/attempt/own_connection.rs
+++ b/crates/linkhold-gateway/src/request/attempt/own_connection.rs
@@ -1,4 +1,4 @@
-//! Sends a statement on a connection of this node's own.
+//! Sends a statement on a connection of this node.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,9 +17,8 @@
 use crate::request::primary_answer::{may_relay_answer, requires_primary};
 use crate::request::principal::Principal;
 
-/// Runs `work` on a connection of this node's own that is held. Whatever a caller
-/// asks is sent to an instance here and nowhere else, so this is where it is looked
-/// once more whether it may be.
+/// Runs `work` on a leased connection of this node. All statements of callers are sent to
+/// instances here, so the last check whether a statement may be sent is here as well.
 pub(crate) async fn run_on_lease<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     mut lease: Lease<ConnectionOf<P>>,
@@ -29,7 +28,7 @@
     answer_by: Instant,
 ) -> AttemptOutcome<P> {
     if is_withheld(gateway, &lease) {
-        // The connection is closed, which undoes what is open on it.
+        // This closes the connection, which undoes the open transaction.
         return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
     if let Err(reason) = check_eligibility(gateway, &lease, principal) {
@@ -45,7 +44,7 @@
     }
     let opened_at = lease.opened_at();
     gateway.prove_warm(lease.instance(), opened_at).await;
-    // Preparing the connection may have taken its time.
+    // The statement may have become ineligible while the connection was prepared.
     if let Err(reason) = check_eligibility(gateway, &lease, principal) {
         return refuse_ineligible(work, &lease, reason);
     }
@@ -55,8 +54,8 @@
     }
     let sent_at = Instant::now();
     let needs_permission = requires_primary(gateway, lease.instance(), work, frame);
-    // Whoever may have been left out when the primary was replaced acknowledged 20
-    // commits of the old one in a cut of 26 s.
+    // Without this check, nodes that a failover may not have taken into account
+    // acknowledged 20 commits of the old primary during a network cut of 26 s.
     if needs_permission && !gateway.beliefs.may_speak_for(lease.instance(), sent_at) {
         return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
@@ -85,7 +84,7 @@
             if work.may_commit() {
                 AttemptOutcome::Lost
             } else {
-                // Nothing of a read is kept: it is told by whoever leads.
+                // A read keeps nothing, so it can run again on the current primary.
                 AttemptOutcome::NotRun(NotRunCause::Refused(BackendErrorKind::ReadOnly))
             }
         }
@@ -105,8 +104,8 @@
     }
 }
 
-/// Has a connection take over the session's state and start the transaction.
-/// Nothing of the statement is sent before all of it was acknowledged.
+/// Brings a connection to the session's state and starts the transaction. The statement
+/// is sent only after all of this was acknowledged.
 async fn prepare_connection<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     mut lease: Lease<ConnectionOf<P>>,
@@ -134,14 +133,14 @@
         lease.pooled().needs_rollback = replies[refused].status != TransactionStatus::Idle;
         lease.release();
     } else {
-        // What was recorded as told to the connection is not true.
+        // The recorded state of the connection is wrong, so the connection is closed.
         drop(lease);
     }
     gateway.note_refusal(&instance, kind);
     Err(AttemptOutcome::NotRun(NotRunCause::Refused(kind)))
 }
 
-/// Whether a statement may be sent on a connection, as things stand now.
+/// Checks whether a statement may be sent on a connection now.
 fn check_eligibility<P: Platform>(
     gateway: &Gateway<P>,
     lease: &Lease<ConnectionOf<P>>,
@@ -154,8 +153,8 @@
     beliefs.eligibility(lease.instance(), principal.regions, Engagement::Bound)
 }
 
-/// A statement that may not be sent. The connection is closed, which undoes what
-/// is open on it.
+/// The outcome of a statement that may not be sent. The caller closes the connection,
+/// which undoes the open transaction.
 fn refuse_ineligible<P: Platform>(
     work: &Work,
     lease: &Lease<ConnectionOf<P>>,
@@ -170,15 +169,15 @@
     AttemptOutcome::NotRun(NotRunCause::Ineligible(reason))
 }
 
-/// A statement that a cold instance has no room for. What is open on the
-/// connection is undone.
+/// The outcome of a statement for which a cold instance has no allowance left. An open
+/// transaction on the connection is undone.
 fn refuse_for_warm_up<P: Platform>(
     mut lease: Lease<ConnectionOf<P>>,
     frame: TransactionFrame,
     after: Duration,
 ) -> AttemptOutcome<P> {
     match frame {
-        // Its transaction ends with the connection.
+        // Closing the connection ends its transaction.
         TransactionFrame::InTransaction => drop(lease),
         TransactionFrame::Begin { .. } => {
             lease.pooled().needs_rollback = true;
@@ -189,13 +188,13 @@
     AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
 }
 
-/// Whether nothing that comes on a connection may be acknowledged, be it through a
-/// peer.
+/// Whether acknowledgements of the connection's instance are withheld, including those
+/// that arrive through a peer.
 fn is_withheld<P: Platform>(gateway: &Gateway<P>, lease: &Lease<ConnectionOf<P>>) -> bool {
     gateway.beliefs.is_withheld(&lease.instance().id)
 }
 
-/// Logs a statement that was sent and got no whole answer.
+/// Logs a statement that was sent and got no complete answer.
 fn log_unanswered<C: BackendConnection>(
     work: &Work,
     lease: &Lease<C>,
--- a/crates/linkhold-gateway/src/request/batch.rs
+++ b/crates/linkhold-gateway/src/request/batch.rs
@@ -2,10 +2,10 @@
 //!
 //! # Invariant
 //!
-//! The statement is sent only after everything it depends on was acknowledged:
+//! A statement is sent only after everything it depends on was acknowledged:
 //! the session's values, prepared statements and the start of its transaction.
-//! Sent together with them it would still run when one of them was refused,
-//! outside its transaction or with another session's values.
+//! If they were sent together, the statement would still run when one of them was
+//! refused: outside its transaction or with another session's values.
 
 use bytes::Bytes;
 use linkhold_core::position::Position;
@@ -14,30 +14,31 @@
 use crate::pool::Pooled;
 use crate::ports::Command;
 
-/// Prepared statements kept on a connection; beyond it, all are dropped.
+/// Maximum number of prepared statements on a connection; a connection with more is
+/// closed when it is given back.
 const MAX_PREPARED: usize = 200;
 
-/// A caller's statement that runs on data.
+/// A caller's statement that an instance must run.
 #[derive(Clone, Debug)]
 pub(crate) enum Work {
-    /// Its text.
+    /// A statement as text.
     Text {
         id: Bytes,
         text: Bytes,
         access: Access,
     },
-    /// A prepared statement of the session.
+    /// An execution of a prepared statement of the session.
     Prepared {
         id: Bytes,
         prepared: Prepared,
         arguments: Bytes,
     },
-    /// The end of a transaction.
+    /// The commit of a transaction.
     Commit { id: Bytes, text: Bytes },
 }
 
 impl Work {
-    /// Whether it may change data.
+    /// Whether the statement may change data.
     pub fn access(&self) -> Access {
         match self {
             Self::Text { access, .. } => *access,
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Whether its success may acknowledge a change of data.
+    /// Whether a successful answer may acknowledge a change of data.
     pub fn may_commit(&self) -> bool {
         matches!(self, Self::Commit { .. }) || self.access() == Access::Write
     }
 
-    /// The caller's identifier.
+    /// The caller's identifier of the request.
     pub fn id(&self) -> &Bytes {
         match self {
             Self::Text { id, .. } | Self::Prepared { id, .. } | Self::Commit { id, .. } => id,
@@ -59,43 +60,43 @@
     }
 }
 
-/// What stands around a statement.
+/// The transaction that surrounds a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TransactionFrame {
     /// The transaction that is open on the connection.
     InTransaction,
-    /// Nothing: it runs alone.
+    /// None: the statement is a transaction of its own.
     Autocommit {
-        /// Position the instance must have.
+        /// Position that the instance's log must have reached.
         fence: Option<Position>,
     },
-    /// It opens a transaction.
+    /// A transaction that starts with the statement.
     Begin {
-        /// A replica may run it.
+        /// Whether a replica may run the transaction.
         read_only: bool,
-        /// Position the instance must have.
+        /// Position that the instance's log must have reached.
         fence: Option<Position>,
     },
-    /// A writing transaction around it that is rolled back: proves that the
-    /// instance was primary while the statement ran. All of it goes out in one
-    /// write, since the answer is dropped when the proof fails.
+    /// A read-write transaction that is rolled back after the statement. It proves
+    /// that the instance was primary while the statement ran. Begin, statement and
+    /// rollback are sent in one write, since the answer is dropped if the proof fails.
     ProvingPrimary,
 }
 
 /// The commands of one statement.
 #[derive(Debug)]
 pub(crate) struct Batch {
-    /// Must be acknowledged before the rest is sent.
+    /// Commands that must be acknowledged before the rest is sent.
     pub setup: Vec<Command>,
-    /// The last command of the setup starts the statement's transaction.
+    /// Whether the last command of the setup starts the statement's transaction.
     pub begins_transaction: bool,
-    /// The statement and what goes with it in one write.
+    /// The statement and the commands that are sent with it in one write.
     pub commands: Vec<Command>,
-    /// Place of the statement's reply among those to `commands`.
+    /// Index of the statement's reply among the replies to `commands`.
     pub statement_index: usize,
 }
 
-/// Builds the batch and records what the connection will have been told.
+/// Builds the batch. Records the state that the connection will have after it.
 pub(crate) fn build<C>(
     pooled: &mut Pooled<C>,
     values: &SessionValues,
@@ -187,7 +188,7 @@
     }
 }
 
-/// Whether a connection has so much prepared that it is better closed.
+/// Whether a connection has so many prepared statements that it is to be closed.
 pub(crate) fn has_too_many_prepared<C>(pooled: &Pooled<C>) -> bool {
     pooled.state.prepared.len() > MAX_PREPARED
 }
--- a/crates/linkhold-gateway/src/request/exchange.rs
+++ b/crates/linkhold-gateway/src/request/exchange.rs
@@ -1,5 +1,5 @@
-//! One exchange of commands and replies on a connection, and what it tells of the
-//! instance.
+//! One exchange of commands and replies on a connection. Records what the exchange shows
+//! about the instance.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,9 +12,10 @@
 use crate::ports::{BackendConnection, BackendReply, Command, ExchangeError, Platform};
 use crate::request::attempt::ConnectionOf;
 
-/// Silence after which an instance is looked at, at the least.
+/// Minimum time without an answer before the instance is probed.
 const MIN_PROBE_SILENCE: Duration = Duration::from_millis(220);
-/// Silence after which an instance is looked at, in its usual latencies.
+/// Time without an answer before the instance is probed, as a multiple of its usual
+/// latency.
 const PROBE_SILENCE_LATENCIES: u32 = 6;
 
 /// How an exchange of commands and replies ended.
@@ -23,11 +24,12 @@
     Answered(Vec<BackendReply>),
     /// The connection broke.
     Broken(ExchangeError),
-    /// No whole answer came in time.
+    /// No complete answer came in time.
     Silent,
 }
 
-/// Exchanges commands and replies and notes what that tells of the instance.
+/// Sends commands, waits for their replies until `answer_by`, and records the result in
+/// the health of the instance.
 pub(crate) async fn exchange_commands<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     lease: &mut Lease<ConnectionOf<P>>,
@@ -57,7 +59,7 @@
     }
 }
 
-/// Counts a statement as under way until it is dropped.
+/// Counts a statement as in flight at an instance until it is dropped.
 pub(crate) struct InFlight<'a, P: Platform> {
     gateway: &'a Gateway<P>,
     instance: Arc<Instance>,
@@ -83,7 +85,8 @@
     }
 }
 
-/// Sends commands and waits; has the instance looked at when it is silent.
+/// Sends commands and waits for their replies; `None` if they are not complete by
+/// `answer_by`. Has the instance probed if it stays silent for too long.
 async fn send_and_wait<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     lease: &mut Lease<ConnectionOf<P>>,
@@ -104,6 +107,7 @@
     timeout_at(answer_by.into(), exchange).await.ok()
 }
 
+/// How long an instance may be silent before it is probed.
 fn silence_limit<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> Duration {
     let usual = gateway
         .beliefs
--- a/crates/linkhold-gateway/src/request/primary_answer.rs
+++ b/crates/linkhold-gateway/src/request/primary_answer.rs
@@ -1,4 +1,4 @@
-//! Whether what an instance answered may be told as the word of its service's primary.
+//! Checks that an answer is that of a service's current primary before it is relayed.
 
 use std::time::Instant;
 
@@ -10,9 +10,10 @@
 use crate::request::attempt::AttemptOutcome;
 use crate::request::batch::{TransactionFrame, Work};
 
-/// Whether what an instance answered as a primary may be told: its log ends in no older
-/// term than is known and not before `proved`, up to which it was proved to reach when it
-/// was asked, and a commit is acknowledged only while this node may speak for the instance.
+/// Whether an instance's answer may be relayed as that of the primary. Its log must end
+/// in the newest known term or a later one, and not before `proved`, the position that
+/// its log was known to reach when the statement was sent. A commit is acknowledged only
+/// while this node may acknowledge for the instance.
 pub(crate) fn may_relay_answer<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
@@ -28,8 +29,8 @@
         && !gateway.detect_lost_log(instance, position, proved)
 }
 
-/// Whether a statement's answer is told as that of a primary: it writes or ends a
-/// transaction that may have written, or must see all that was acknowledged.
+/// Whether only a primary may answer a statement: it writes, ends a transaction that may
+/// have written, or must see everything that was acknowledged.
 pub(crate) fn requires_primary<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
@@ -40,15 +41,16 @@
         TransactionFrame::ProvingPrimary | TransactionFrame::Autocommit { fence: None } => true,
         TransactionFrame::Begin { read_only, .. } => !read_only,
         TransactionFrame::Autocommit { fence: Some(_) } => false,
-        // On a replica nothing but reads can be open.
+        // Only read-only transactions are open on a replica.
         TransactionFrame::InTransaction => {
             work.may_commit() && !gateway.beliefs.is_replica(instance)
         }
     }
 }
 
-/// A commit is not acknowledged if its instance has been replaced meanwhile, as far as
-/// this node has heard; whoever ran it for this node may not have.
+/// Turns the answer to a commit into [`AttemptOutcome::Lost`] if this node knows that the
+/// instance was replaced meanwhile. An owner that ran the commit for this node may not
+/// know it yet.
 pub(crate) fn withhold_if_replaced<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -1,13 +1,14 @@
-//! Statements outside transactions: which instance runs them, what is tried
-//! again, and what is told when that fails.
+//! Statements outside of transactions and the first statements of transactions:
+//! which instance runs them, which are retried, and which failure is reported.
 //!
 //! # Invariants
 //!
 //! * A statement that may change data is sent again only after a proof that it
 //!   did not run.
-//! * A read runs only where everything it must see is proved to be.
-//! * A refusal goes out as soon as it is certain, at the latest when the part
-//!   of the latency objective that may be spent on waiting is used up.
+//! * A read runs only on an instance that is proved to have everything the read must
+//!   see.
+//! * A refusal is sent as soon as it is certain, at the latest when the part of the
+//!   latency objective that may be spent on waiting is used up.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -33,38 +34,39 @@
 use crate::request::principal::Principal;
 use crate::request::session_positions::SessionPositions;
 
-/// Pause before an instance that was full is tried again; it doubles up to
-/// [`MAX_BUSY_PAUSE`].
+/// First pause before another attempt on a primary that refused a statement or could not
+/// be reached. It doubles up to [`MAX_BUSY_PAUSE`].
 const INITIAL_BUSY_PAUSE: Duration = Duration::from_millis(10);
-/// Longest pause between tries on the same instance.
+/// Longest pause between attempts on the same instance.
 const MAX_BUSY_PAUSE: Duration = Duration::from_millis(80);
-/// Pause before a round over all instances is begun again.
+/// Pause before all instances are tried again.
 const ROUND_PAUSE: Duration = Duration::from_millis(20);
-/// Longest wait for a connection while other instances are left to try.
+/// Longest wait for a connection to an instance while other instances are left to try.
 const CONNECTION_WAIT_WITH_ALTERNATIVES: Duration = Duration::from_millis(30);
-/// Time one instance gets for a read while others are left to try, at the least.
+/// Minimum time limit for a read on one instance while others are left to try.
 const MIN_READ_ATTEMPT: Duration = Duration::from_millis(350);
-/// As [`MIN_READ_ATTEMPT`], in the instance's usual latencies.
+/// Time limit for a read on one instance while others are left to try, as a multiple of
+/// the instance's usual latency.
 const READ_ATTEMPT_LATENCIES: u32 = 10;
 
-/// A statement, its session and its limits.
+/// The session, permissions and time limits of a statement.
 pub(crate) struct StatementContext<'a> {
     pub route: &'a Arc<Route>,
-    /// Whose connection it needs.
+    /// Holder of the connections that the statement may use.
     pub holder: &'a ConnectionHolder,
-    /// Regions in which it may be run.
+    /// Regions in which the statement may run.
     pub regions: &'a AllowedRegions,
     pub session: &'a SessionState,
     pub received_at: Instant,
 }
 
 impl StatementContext<'_> {
-    /// Until when it may wait for room or for a primary.
+    /// Until when the statement may wait for a connection or for a primary.
     pub fn wait_deadline(&self) -> Instant {
         self.received_at + waiting::patience(self.route.latency_objective)
     }
 
-    /// For whom it runs.
+    /// On whose behalf the statement runs.
     pub fn principal(&self) -> Principal<'_> {
         Principal {
             holder: self.holder,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Until when it must be answered.
+    /// Until when the statement must be answered.
     pub fn answer_by(&self) -> Instant {
         self.received_at + self.route.statement_timeout
     }
@@ -86,18 +88,18 @@
     }
 }
 
-/// What a statement opens.
+/// The kind of transaction in which a statement runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TransactionMode {
-    /// Nothing: it is a transaction of its own.
+    /// The statement is a transaction of its own.
     Autocommit,
-    /// A transaction that may write.
+    /// The statement opens a transaction that may write.
     ReadWrite,
-    /// A transaction that only reads.
+    /// The statement opens a transaction that only reads.
     ReadOnly,
 }
 
-/// Runs a statement that stands alone or opens a transaction.
+/// Runs a statement that is a transaction of its own or opens one.
 pub(crate) async fn run<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     context: &StatementContext<'_>,
@@ -169,7 +171,7 @@
     }
 }
 
-/// What is told when a statement was sent and no answer came. The first
+/// The failure to report when a statement was sent and no answer came. The first
 /// statement of a transaction is undone with its connection.
 fn failure_after_lost_answer(mode: TransactionMode, unknown: Unknown) -> Failure {
     match mode {
@@ -193,7 +195,8 @@
     }
 }
 
-/// A primary that may be tried, waited for as long as the statement may wait.
+/// Waits for a primary that may run the statement. Fails with `reason` when the
+/// statement may wait no longer, and at once if no primary may run the statement.
 async fn wait_for_primary<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     context: &StatementContext<'_>,
@@ -224,7 +227,7 @@
             return Err(Failure::NotRun(primary_refusal(ineligible)));
         }
         // An instance that is passed over after a failure becomes usable again
-        // without a change that would wake this.
+        // without a change that would wake this loop.
         let next_check = wait_deadline.min(now + ROUND_PAUSE * 2);
         let _ = timeout_at(next_check.into(), changes.changed()).await;
     }
@@ -242,7 +245,7 @@
         .err()
 }
 
-/// Whether the primary is about to move to where a statement may be run.
+/// Whether the primary is about to move to an instance that may run the statement.
 fn is_switchover_due<P: Platform>(gateway: &Gateway<P>, context: &StatementContext<'_>) -> bool {
     let service = &context.route.service;
     let beliefs = &gateway.beliefs;
@@ -252,7 +255,7 @@
     serves && beliefs.has_place_for_primary(service)
 }
 
-/// What is told where no primary may run a statement.
+/// The reason to report when no primary may run a statement.
 fn primary_refusal(ineligible: Ineligible) -> NotRun {
     match ineligible {
         Ineligible::OutsideRegions => NotRun::PrimaryOutsideRegion,
@@ -260,7 +263,7 @@
     }
 }
 
-/// What is told where no instance may run a read.
+/// The reason to report when no instance may run a read.
 fn read_refusal(ineligible: Ineligible) -> NotRun {
     match ineligible {
         Ineligible::OutsideRegions => NotRun::NoInstanceInRegion,
@@ -357,8 +360,8 @@
     }
 }
 
-/// The position a read requires. Rounds after the first ask for newer
-/// evidence: the position may belong to a log that was rolled back.
+/// The log position that a read requires. Rounds after the first ask for newer
+/// evidence, since the position may belong to a log that was rolled back.
 async fn read_fence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     context: &StatementContext<'_>,
@@ -394,7 +397,7 @@
     Ok(session_fence(evidence, positions.required(service)))
 }
 
-/// Asks for new evidence before the present one is too old to be used.
+/// Asks for new evidence before the current evidence is too old to be used.
 fn refresh_ahead<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &linkhold_core::service::configuration::ServiceName,
@@ -450,6 +453,7 @@
     }
 }
 
+/// The reason to report when the last attempt ended with `cause`.
 fn refusal_reason(cause: NotRunCause) -> NotRun {
     match cause {
         NotRunCause::NoConnection => NotRun::Overloaded,
@@ -480,7 +484,7 @@
         .log();
 }
 
-/// Whether a reply ends the statement with success.
+/// Whether a reply reports success.
 pub(crate) fn is_success(reply: &BackendReply) -> bool {
     reply.error().is_none()
 }
--- a/crates/linkhold-gateway/src/request/transaction.rs
+++ b/crates/linkhold-gateway/src/request/transaction.rs
@@ -1,13 +1,12 @@
-//! Transactions: opened lazily with their first statement, bound to one
+//! Transactions. They are opened with their first statement and stay on one
 //! connection until they end.
 //!
 //! # Invariants
 //!
-//! * From the first statement to the end, the connection belongs to this
-//!   transaction alone; it is given back only after its end was answered.
-//! * The end is sent once. Before it is sent, a lost connection means that
-//!   nothing is kept; afterwards the fate is unknown, unless nothing was
-//!   written.
+//! * From the first statement to the end, the connection serves this transaction
+//!   alone; it is given back only after the commit or rollback was answered.
+//! * The commit is sent once. If the connection is lost before, nothing is kept; if
+//!   it is lost afterwards, the outcome is unknown, unless nothing was written.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -33,7 +32,7 @@
 
 /// A transaction on a connection.
 pub(crate) struct OpenTransaction<P: Platform> {
-    /// What its caller could do when it was opened.
+    /// The caller's admission when the transaction was opened.
     pub admitted: Admitted,
     held: HeldConnection<P>,
     wrote: bool,
@@ -42,7 +41,7 @@
 /// A commit that succeeded.
 pub(crate) struct Committed {
     pub reply: BackendReply,
-    /// Position of the commit, if it wrote.
+    /// Position of the commit, if the transaction wrote.
     pub position: Option<Position>,
 }
 
@@ -56,13 +55,13 @@
         }
     }
 
-    /// Whether neither its instance nor a node on the way to it stands outside the
-    /// allowed regions.
+    /// Whether the instance and every node on the path to it are in the allowed regions.
     pub fn is_within(&self, gateway: &Gateway<P>, regions: &AllowedRegions) -> bool {
         self.held.is_within(gateway, regions)
     }
 
-    /// Logs that its instance, or a node on the way to it, stands outside them now.
+    /// Logs that the instance, or a node on the path to it, is now outside the allowed
+    /// regions.
     pub fn log_outside_regions(&self, regions: &AllowedRegions) {
         Event::info("transaction_outside_regions")
             .field("instance", &self.held.instance().id)
@@ -71,7 +70,7 @@
             .log();
     }
 
-    /// Runs one more statement. On failure the transaction is over.
+    /// Runs another statement. On failure the transaction is over.
     pub async fn run(
         mut self,
         gateway: &Arc<Gateway<P>>,
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Commits.
+    /// Commits. The outcome is unknown if no answer came and the transaction wrote.
     pub async fn commit(
         self,
         gateway: &Arc<Gateway<P>>,
@@ -133,7 +132,7 @@
         })
     }
 
-    /// Rolls back without anybody waiting for it.
+    /// Rolls back in the background.
     pub fn abandon(self) {
         match self.held {
             HeldConnection::Own(lease) => {
@@ -152,7 +151,7 @@
     }
 }
 
-/// Rolls back and gives the connection back; closes it if that fails.
+/// Rolls back and gives the connection back; closes it if the rollback fails.
 pub(crate) async fn roll_back<C: BackendConnection>(mut lease: Lease<C>) {
     let exchange = lease.pooled().connection.exchange(&[Command::Rollback]);
     if let Ok(Ok(replies)) = timeout(ROLLBACK_TIMEOUT, exchange).await {
@@ -160,12 +159,13 @@
     }
 }
 
-/// Gives back the connection of a statement that stood alone.
+/// Gives back the connection of a statement that ran outside of a transaction.
 pub(crate) fn finish_autocommit<P: Platform>(answer: Answer<P>) -> BackendReply {
     answer.held.finish(answer.reply.status);
     answer.reply
 }
 
+/// The failure to report when a commit was sent and no answer came.
 fn lost_commit_failure(wrote: bool, unknown: Unknown) -> Failure {
     if wrote {
         Failure::Unknown(unknown)
