--- a/crates/linkhold-gateway/src/session/activity.rs
+++ b/crates/linkhold-gateway/src/session/activity.rs
@@ -1,30 +1,29 @@
-//! What a session's caller did last, and when that lets a stop close it.
+//! A session's last activity, and when a shutdown may close the session after it.
 
 use std::time::{Duration, Instant};
 
-/// How long a session is left open after its caller did something that is
-/// usually followed by a request.
-const SETTLE_TIME: Duration = Duration::from_millis(400);
-/// The same for a session in which nothing was asked yet.
+/// How long a session stays open after a statement that usually precedes an operation.
+const FOLLOW_UP_TIME: Duration = Duration::from_millis(400);
+/// How long a session stays open that has had no request yet.
 const FIRST_REQUEST_TIME: Duration = Duration::from_millis(1_000);
 
-/// What the caller did last.
+/// The last activity of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Activity {
-    /// It opened the session.
+    /// The caller opened the session.
     Opened(Instant),
-    /// It asked for something that prepares an operation.
+    /// The caller sent a statement that prepares an operation.
     Preparing(Instant),
     /// An operation was answered.
     OperationDone,
 }
 
 impl Activity {
-    /// From when on the session may be closed between requests.
+    /// From when on the session may be closed between requests; `None` if at any time.
     pub(super) fn may_close_at(self) -> Option<Instant> {
         match self {
             Self::Opened(at) => Some(at + FIRST_REQUEST_TIME),
-            Self::Preparing(at) => Some(at + SETTLE_TIME),
+            Self::Preparing(at) => Some(at + FOLLOW_UP_TIME),
             Self::OperationDone => None,
         }
     }
--- a/crates/linkhold-gateway/src/session/mod.rs
+++ b/crates/linkhold-gateway/src/session/mod.rs
@@ -1,4 +1,4 @@
-//! One caller's session: reads its statements, runs them, answers.
+//! One caller's session: reads statements, runs them and sends the answers.
 
 mod activity;
 mod operations;
@@ -25,22 +25,22 @@
 use crate::request::transaction::{OpenTransaction, log_aborted};
 use activity::Activity;
 
-/// The transaction of a session.
+/// The state of a session's transaction.
 enum Transaction<P: Platform> {
-    /// None.
+    /// No transaction.
     None,
-    /// Announced by the caller; nothing was sent to an instance yet.
-    Announced {
+    /// Begun by the caller; nothing was sent to an instance yet.
+    Begun {
         admitted: Admitted,
         read_only: bool,
         received_at: Instant,
     },
-    /// On a connection.
+    /// Open on a connection.
     Open(OpenTransaction<P>),
-    /// Over, but the caller has not ended it.
+    /// Failed, but not yet ended by the caller.
     Failed,
-    /// Ended by the node; the caller has not been told.
-    EndedUnseen,
+    /// Aborted by the node, which has not reported it to the caller yet.
+    AbortedUnreported,
 }
 
 /// A session and its caller.
@@ -55,7 +55,7 @@
     activity: Activity,
 }
 
-/// How long a session that opens waits for the node's first configuration.
+/// How long a new session waits for the node's first configuration.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(80);
 
 /// Serves a caller until either side ends the session.
@@ -82,7 +82,7 @@
     metrics_holder.metrics.sessions_closed.add();
 }
 
-/// When a session is closed by the node's stop.
+/// When a shutdown closes a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Closing {
     No,
@@ -97,7 +97,7 @@
     }
 }
 
-/// What a session waits for.
+/// Why a session stops waiting.
 enum Wake {
     Request(Result<Option<CallerRequest>, CallerError>),
     IdleTooLong,
@@ -108,7 +108,7 @@
 impl<P: Platform, C: CallerConnection> Session<P, C> {
     async fn run(mut self) {
         self.wait_for_configuration().await;
-        if let Err(failure) = self.admitted() {
+        if let Err(failure) = self.admit() {
             self.log_refusal(&Bytes::from_static(b"-"), failure, self.positions.opened_at);
             let _ = self.caller.refuse(failure).await;
             return;
@@ -116,7 +116,7 @@
         if self.caller.accept().await.is_err() {
             return;
         }
-        if let Err(error) = self.converse().await {
+        if let Err(error) = self.serve_requests().await {
             Event::info("session_broken")
                 .field("database", &self.startup.database)
                 .field("tenant", self.tenant())
@@ -128,8 +128,8 @@
         }
     }
 
-    /// A node that has just started learns the configuration within
-    /// milliseconds if it can at all.
+    /// Waits for the first configuration. A node that has just started reads it within
+    /// milliseconds if the store can be reached.
     async fn wait_for_configuration(&self) {
         let deadline = self.positions.opened_at + CONFIGURATION_WAIT;
         let mut changes = self.gateway.beliefs.subscribe();
@@ -144,8 +144,8 @@
         }
     }
 
-    /// What the caller may do by the configuration in force.
-    fn admitted(&self) -> Result<Admitted, Failure> {
+    /// Admits the caller by the configuration in force.
+    fn admit(&self) -> Result<Admitted, Failure> {
         let configuration = self.gateway.beliefs.configuration();
         let configuration = configuration.ok_or(Failure::NotRun(NotRun::NotConfigured))?;
         configuration
@@ -153,7 +153,7 @@
             .map_err(Failure::NotRun)
     }
 
-    /// The tenant that the caller is known as now, for log lines.
+    /// The caller's current tenant, for log lines.
     fn tenant(&self) -> String {
         let configuration = self.gateway.beliefs.configuration();
         let tenancy = configuration.as_ref().and_then(|it| it.tenancy.as_ref());
@@ -162,7 +162,7 @@
         tenant.map_or("none".to_owned(), ToString::to_string)
     }
 
-    /// The regions in which the caller's requests may be run now, for log lines.
+    /// The regions in which the caller's requests may run now, for log lines.
     fn regions(&self) -> AllowedRegions {
         let configuration = self.gateway.beliefs.configuration();
         let regions = configuration.and_then(|configuration| {
@@ -173,10 +173,10 @@
         regions.unwrap_or_default()
     }
 
-    async fn converse(&mut self) -> Result<(), CallerError> {
+    async fn serve_requests(&mut self) -> Result<(), CallerError> {
         loop {
             match self.wait().await {
-                Wake::Request(Ok(Some(request))) => self.answer(request).await?,
+                Wake::Request(Ok(Some(request))) => self.answer_request(request).await?,
                 Wake::Request(Ok(None)) => return Ok(()),
                 Wake::Request(Err(error)) => return Err(error),
                 Wake::IdleTooLong => self.end_transaction("idle_too_long"),
@@ -200,13 +200,14 @@
             biased;
             request = self.caller.request() => Wake::Request(request),
             _ = self.stage.changed() => Wake::StageChanged,
-            // The next round closes the session, unless something has come.
+            // The next round closes the session unless input has arrived.
             () = sleep_until_some(close_at) => Wake::StageChanged,
             () = sleep_until_some(idle_end) => Wake::IdleTooLong,
         }
     }
 
-    /// When the open transaction will have been idle for too long.
+    /// When the open transaction reaches the idle limit; `None` without a limit or an open
+    /// transaction.
     fn idle_end(&self) -> Option<Instant> {
         let Transaction::Open(_) = self.transaction else {
             return None;
@@ -219,7 +220,7 @@
         Some(Instant::now() + limit)
     }
 
-    /// When the node's stop ends this session, as things stand.
+    /// When the shutdown closes this session at its current stage.
     fn closing(&mut self) -> Closing {
         let stage = *self.stage.borrow_and_update();
         let is_in_transaction = !matches!(self.transaction, Transaction::None);
@@ -232,7 +233,7 @@
             ShutdownStage::ClosingIdle | ShutdownStage::Refusing if is_in_transaction => {
                 Closing::No
             }
-            // A caller that is about to ask something is let finish at any stage.
+            // At any stage, a caller that is preparing an operation may finish it.
             ShutdownStage::ClosingIdle | ShutdownStage::Refusing | ShutdownStage::ClosingAll => {
                 match self.activity.may_close_at() {
                     Some(at) if at > Instant::now() => Closing::At(at),
@@ -245,13 +246,13 @@
     fn end_transaction(&mut self, reason: &'static str) {
         log_aborted(&self.startup.database, &self.tenant(), reason);
         self.gateway.metrics.transactions_aborted.add();
-        let ended = std::mem::replace(&mut self.transaction, Transaction::EndedUnseen);
+        let ended = std::mem::replace(&mut self.transaction, Transaction::AbortedUnreported);
         if let Transaction::Open(open) = ended {
             open.abandon();
         }
     }
 
-    async fn answer(&mut self, request: CallerRequest) -> Result<(), CallerError> {
+    async fn answer_request(&mut self, request: CallerRequest) -> Result<(), CallerError> {
         let received_at = Instant::now();
         let reply = self.handle(&request, received_at).await;
         match &reply {
@@ -312,8 +313,8 @@
     fn status(&self) -> TransactionStatus {
         match self.transaction {
             Transaction::None => TransactionStatus::Idle,
-            Transaction::Announced { .. } | Transaction::Open(_) => TransactionStatus::Open,
-            Transaction::Failed | Transaction::EndedUnseen => TransactionStatus::Failed,
+            Transaction::Begun { .. } | Transaction::Open(_) => TransactionStatus::Open,
+            Transaction::Failed | Transaction::AbortedUnreported => TransactionStatus::Failed,
         }
     }
 }
--- a/crates/linkhold-gateway/src/session/operations.rs
+++ b/crates/linkhold-gateway/src/session/operations.rs
@@ -1,4 +1,4 @@
-//! What a session does with each statement.
+//! How a session handles each statement.
 
 use std::time::Instant;
 
@@ -20,13 +20,13 @@
 use crate::request::transaction::{OpenTransaction, finish_autocommit};
 
 impl<P: Platform, C: CallerConnection> Session<P, C> {
-    /// Runs a statement; returns what its caller is told.
+    /// Runs a statement and returns the reply to its caller.
     pub(super) async fn handle(
         &mut self,
         request: &CallerRequest,
         received_at: Instant,
     ) -> CallerReply {
-        if let Some(reply) = self.handle_failed(&request.statement) {
+        if let Some(reply) = self.handle_in_failed_transaction(&request.statement) {
             return reply;
         }
         match &request.statement {
@@ -68,11 +68,12 @@
         }
     }
 
-    /// Answers in a transaction that is over: only its end is accepted.
-    fn handle_failed(&mut self, statement: &Statement) -> Option<CallerReply> {
-        let unseen = match self.transaction {
+    /// Answers a statement in a failed or aborted transaction, where only commit and
+    /// rollback are accepted; `None` in other transaction states.
+    fn handle_in_failed_transaction(&mut self, statement: &Statement) -> Option<CallerReply> {
+        let is_unreported = match self.transaction {
             Transaction::Failed => false,
-            Transaction::EndedUnseen => true,
+            Transaction::AbortedUnreported => true,
             _ => return None,
         };
         let aborted = CallerReply::Failed(Failure::NotRun(NotRun::TransactionAborted));
@@ -86,12 +87,12 @@
                 self.transaction = Transaction::None;
                 aborted
             }
-            _ if unseen => aborted,
+            _ if is_unreported => aborted,
             _ => CallerReply::Rejected(Rejection::Malformed),
         })
     }
 
-    /// Refuses a statement for what it is; an open transaction fails with it.
+    /// Rejects an invalid statement and fails the open transaction.
     fn reject(&mut self, rejection: Rejection) -> CallerReply {
         self.fail_transaction();
         CallerReply::Rejected(rejection)
@@ -112,9 +113,9 @@
         if !matches!(self.transaction, Transaction::None) {
             return self.reject(Rejection::Malformed);
         }
-        match self.admitted() {
+        match self.admit() {
             Ok(admitted) => {
-                self.transaction = Transaction::Announced {
+                self.transaction = Transaction::Begun {
                     admitted,
                     read_only,
                     received_at,
@@ -127,16 +128,16 @@
 
     async fn run_work(&mut self, work: Work, received_at: Instant) -> CallerReply {
         let result = match std::mem::replace(&mut self.transaction, Transaction::None) {
-            Transaction::Open(open) => self.run_inside(open, &work, received_at).await,
-            Transaction::Announced {
+            Transaction::Open(open) => self.run_in_transaction(open, &work, received_at).await,
+            Transaction::Begun {
                 admitted,
                 read_only,
                 received_at: begun_at,
             } => {
-                self.run_first(admitted, read_only, begun_at, &work, received_at)
+                self.run_first_statement(admitted, read_only, begun_at, &work, received_at)
                     .await
             }
-            _ => self.run_alone(&work, received_at).await,
+            _ => self.run_autocommit(&work, received_at).await,
         };
         match result {
             Ok(reply) => {
@@ -168,7 +169,7 @@
         }
     }
 
-    async fn run_alone(
+    async fn run_autocommit(
         &mut self,
         work: &Work,
         received_at: Instant,
@@ -177,7 +178,7 @@
             route,
             holder,
             regions,
-        } = self.admitted()?;
+        } = self.admit()?;
         self.take_from_budget(&route, &holder, received_at).await?;
         let context = StatementContext {
             route: &route,
@@ -188,7 +189,7 @@
         };
         let mode = TransactionMode::Autocommit;
         let ran = statement::run(&self.gateway, &context, &mut self.positions, work, mode).await;
-        let answer = self.settle_budget(&holder, ran)?;
+        let answer = self.return_unused_budget(&holder, ran)?;
         let reply = finish_autocommit(answer);
         if work.access() == Access::Write
             && is_success(&reply)
@@ -199,8 +200,8 @@
         Ok(reply)
     }
 
-    /// Runs the first statement of a transaction, which opens it.
-    async fn run_first(
+    /// Runs the first statement of a transaction, which opens the transaction.
+    async fn run_first_statement(
         &mut self,
         admitted: Admitted,
         read_only: bool,
@@ -226,15 +227,15 @@
             TransactionMode::ReadWrite
         };
         let ran = statement::run(&self.gateway, &context, &mut self.positions, work, mode).await;
-        let answer = self.settle_budget(&admitted.holder, ran)?;
+        let answer = self.return_unused_budget(&admitted.holder, ran)?;
         let reply = answer.reply.clone();
         let open = OpenTransaction::new(admitted, answer.held, work.access());
         self.keep_open(open, &reply);
         Ok(reply)
     }
 
-    /// Takes one operation from the tenant's budget. What waits for one is told in
-    /// time to come back.
+    /// Takes one operation from the tenant's budget. Waits for it only for the part of the
+    /// latency objective that may be spent on waiting, so that a refusal is sent in time.
     async fn take_from_budget(
         &self,
         route: &Route,
@@ -247,8 +248,8 @@
             .map_err(Failure::NotRun)
     }
 
-    /// Gives an operation back to the tenant's budget if it certainly did not run.
-    fn settle_budget(
+    /// Returns an operation to the tenant's budget if it certainly did not run.
+    fn return_unused_budget(
         &self,
         holder: &ConnectionHolder,
         ran: Result<Answer<P>, Failure>,
@@ -260,10 +261,10 @@
         ran
     }
 
-    /// Rolls a transaction back whose caller is no longer known as the tenant that
-    /// opened it, or whose instance it may no longer use.
-    fn still_admitted(&self, mut open: OpenTransaction<P>) -> Result<OpenTransaction<P>, Failure> {
-        match self.present_admission(&open) {
+    /// Checks an open transaction against the configuration in force. Rolls it back if the
+    /// caller is no longer the tenant that opened it or may no longer use its instance.
+    fn check_admission(&self, mut open: OpenTransaction<P>) -> Result<OpenTransaction<P>, Failure> {
+        match self.current_regions(&open) {
             Ok(regions) if open.is_within(&self.gateway, &regions) => {
                 open.admitted.regions = regions;
                 Ok(open)
@@ -280,10 +281,10 @@
         }
     }
 
-    /// In which regions an open transaction may go on by the configuration in force.
-    /// Its database may have moved to another service meanwhile: it goes on where it
-    /// is.
-    fn present_admission(&self, open: &OpenTransaction<P>) -> Result<AllowedRegions, NotRun> {
+    /// The regions in which an open transaction may continue by the configuration in
+    /// force. If its database has moved to another service meanwhile, the transaction
+    /// continues on its instance.
+    fn current_regions(&self, open: &OpenTransaction<P>) -> Result<AllowedRegions, NotRun> {
         let configuration = self.gateway.beliefs.configuration();
         let configuration = configuration.ok_or(NotRun::NotConfigured)?;
         let opened = &open.admitted;
@@ -295,14 +296,14 @@
         Ok(configuration.regions(route.unwrap_or(&opened.route), &holder))
     }
 
-    async fn run_inside(
+    async fn run_in_transaction(
         &mut self,
         open: OpenTransaction<P>,
         work: &Work,
         received_at: Instant,
     ) -> Result<BackendReply, Failure> {
         self.transaction = Transaction::Failed;
-        let open = self.still_admitted(open)?;
+        let open = self.check_admission(open)?;
         let (open, reply) = open
             .run(&self.gateway, &self.state, work, received_at)
             .await?;
@@ -325,7 +326,7 @@
         };
         let result = match std::mem::replace(&mut self.transaction, Transaction::None) {
             Transaction::Open(open) => self.commit_open(open, &work, received_at).await,
-            Transaction::Announced {
+            Transaction::Begun {
                 admitted,
                 read_only,
                 ..
@@ -350,7 +351,7 @@
         work: &Work,
         received_at: Instant,
     ) -> Result<BackendReply, Failure> {
-        let open = self.still_admitted(open)?;
+        let open = self.check_admission(open)?;
         let service = open.admitted.route.service.clone();
         let answer_by = received_at + open.admitted.route.statement_timeout;
         let committed = open
@@ -362,7 +363,7 @@
         Ok(committed.reply)
     }
 
-    /// A transaction without statements: its commit still needs an instance.
+    /// Commits a transaction without statements, which still needs an instance.
     async fn commit_empty(
         &mut self,
         admitted: Admitted,
@@ -385,7 +386,7 @@
             TransactionMode::ReadWrite
         };
         let ran = statement::run(&self.gateway, &context, &mut self.positions, work, mode).await;
-        let answer = self.settle_budget(&admitted.holder, ran)?;
+        let answer = self.return_unused_budget(&admitted.holder, ran)?;
         Ok(finish_autocommit(answer))
     }
 
@@ -395,7 +396,7 @@
                 open.abandon();
                 CallerReply::Acknowledged
             }
-            Transaction::Announced { .. } => CallerReply::Acknowledged,
+            Transaction::Begun { .. } => CallerReply::Acknowledged,
             _ => CallerReply::Rejected(Rejection::Malformed),
         }
     }
