--- a/crates/linkhold-gateway/src/gate.rs
+++ b/crates/linkhold-gateway/src/gate.rs
@@ -1,10 +1,10 @@
-//! Statements of this node that are under way at one instance.
+//! Limits the statements of this node that run at one instance at a time.
 //!
 //! # Invariants
 //!
-//! * No more than the limit run at a time, but for statements in transactions:
-//!   these hold a connection, and whatever else they hold, until they end.
-//! * Who waits goes in the order of urgency, then of arrival.
+//! * No more statements than the limit run at a time, except for statements in
+//!   transactions: these hold a connection and other resources until they end.
+//! * Waiting statements run in the order of urgency, then of arrival.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -16,7 +16,7 @@
 
 use crate::beliefs::lock;
 
-/// Rank of a request in queues; the lowest goes first.
+/// Rank of a request in queues; the lowest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
     /// Writes go before reads.
@@ -34,12 +34,12 @@
     next_waiter: u64,
 }
 
-/// The gate before one instance.
+/// The concurrency limit of one instance and its queue.
 pub struct Gate {
     state: Mutex<State>,
 }
 
-/// The right to have one statement under way; given back when dropped.
+/// The right to run one statement; returned when dropped.
 pub struct Permit {
     gate: Arc<Gate>,
 }
@@ -51,7 +51,7 @@
 }
 
 impl Gate {
-    /// A gate that nobody has passed.
+    /// A gate without running statements.
     pub fn new(limit: ConcurrencyLimit) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(State {
@@ -63,17 +63,17 @@
         })
     }
 
-    /// The node may hold so many connections now.
+    /// Sets how many connections the node may hold.
     pub fn set_connections(&self, connections: usize) {
         lock(&self.state).limit.set_connections(connections);
     }
 
-    /// The instance had no room.
+    /// Records that the instance refused a statement because it was full.
     pub fn record_refusal(&self) {
         lock(&self.state).limit.refused(Instant::now());
     }
 
-    /// Waits until a statement may go; `None` if it may not before `deadline`.
+    /// Waits until a statement may run; `None` if it may not before `deadline`.
     pub async fn acquire(self: &Arc<Self>, urgency: Urgency, deadline: Instant) -> Option<Permit> {
         let (receiver, key) = {
             let mut state = lock(&self.state);
@@ -98,7 +98,7 @@
             .ok()
     }
 
-    /// Lets a statement of a transaction go.
+    /// Lets a statement of an open transaction run at once, even beyond the limit.
     pub fn acquire_immediately(self: &Arc<Self>) -> Permit {
         lock(&self.state).running += 1;
         Permit { gate: self.clone() }
@@ -120,13 +120,13 @@
         }
         drop(state);
         for (waiter, permit) in permits {
-            // A permit that nobody takes is given back as it is dropped.
+            // A permit whose waiter has gone is returned when it is dropped.
             let _ = waiter.send(permit);
         }
     }
 }
 
-/// A place in the queue.
+/// An entry in the queue, removed when dropped.
 struct Waiting<'a> {
     gate: &'a Gate,
     key: WaiterKey,
--- a/crates/linkhold-gateway/src/lifecycle.rs
+++ b/crates/linkhold-gateway/src/lifecycle.rs
@@ -1,10 +1,10 @@
-//! Stopping a node without cutting a request.
+//! Shuts a node down without interrupting requests.
 //!
-//! 1. The node says at once that it is not ready, and goes on serving: the
-//!    platform needs some seconds to send new callers elsewhere.
-//! 2. Sessions are closed when no transaction is open and nothing is asked, nor
-//!    about to be.
-//! 3. In the second half of the grace period open transactions are ended.
+//! 1. The node reports at once that it is not ready and keeps serving: the platform
+//!    needs some seconds to route new callers elsewhere.
+//! 2. Sessions are closed when they have no open transaction and no request, and are
+//!    not about to send one.
+//! 3. In the second half of the grace period open transactions are rolled back.
 //! 4. The process exits when no session is left, or just before it is killed.
 
 use std::sync::Arc;
@@ -18,30 +18,31 @@
 use crate::ports::Platform;
 use crate::registration;
 
-/// How long new callers may still be sent here after the node is not ready.
+/// How long the platform may still route new callers here after the node reports that it
+/// is not ready.
 const ROUTING_DELAY: Duration = Duration::from_millis(2_300);
-/// Idle sessions are closed after this, so that callers that are between two
-/// requests of one operation are not sent away at once.
+/// Delay before idle sessions are closed, so that callers between two requests of one
+/// operation are not disconnected at once.
 const IDLE_DELAY: Duration = Duration::from_millis(300);
-/// Left before the end of the grace period.
+/// How long before the end of the grace period the process exits.
 const EXIT_MARGIN: Duration = Duration::from_millis(1_000);
-/// How often the sessions left are counted.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often the remaining sessions are counted.
+const COUNT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What sessions are to do about a stop.
+/// What sessions do at each stage of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownStage {
-    /// Serve.
+    /// Sessions are served.
     Serving,
-    /// End when no transaction is open and nothing is asked.
+    /// Sessions are closed when they have no open transaction and no request.
     ClosingIdle,
-    /// The same, and no new session is accepted.
+    /// As [`Self::ClosingIdle`], and no new session is accepted.
     Refusing,
-    /// End.
+    /// All sessions are closed; open transactions are rolled back.
     ClosingAll,
 }
 
-/// Carries out a stop; returns when the process should exit.
+/// Carries out a shutdown; returns when the process should exit.
 pub async fn stop<P: Platform>(gateway: Arc<Gateway<P>>, stage: watch::Sender<ShutdownStage>) {
     let started = Instant::now();
     let grace = gateway.settings.grace;
@@ -56,9 +57,9 @@
     let end = started + grace.saturating_sub(EXIT_MARGIN);
     while Instant::now() < end {
         // A session that was accepted just before sessions were refused is counted
-        // only at the look after that.
+        // only in the next round.
         let refused_before = *stage.borrow() >= ShutdownStage::Refusing;
-        sleep(LOOK_INTERVAL).await;
+        sleep(COUNT_INTERVAL).await;
         let now = Instant::now();
         if now >= half {
             stage.send_replace(ShutdownStage::ClosingAll);
--- a/crates/linkhold-gateway/tests/gate.rs
+++ b/crates/linkhold-gateway/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Statements under way at one instance: limit, order, what is given back.
+//! The gate before an instance: its limit, its queue order and the return of permits.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_more_than_the_limit_pass_and_whoever_waits_too_long_does_not() {
+async fn no_more_than_the_limit_run_and_waiting_ends_at_the_deadline() {
     let gate = gate();
     let first = gate.acquire(READ, far()).await;
     let second = gate.acquire(READ, far()).await;
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn who_waits_goes_by_urgency_then_by_arrival() {
+async fn waiting_statements_run_by_urgency_then_by_arrival() {
     let gate = gate();
     let held = [gate.acquire_immediately(), gate.acquire_immediately()];
     let order = Arc::new(Mutex::new(Vec::new()));
@@ -56,7 +56,7 @@
             order.lock().unwrap().push(name);
             drop(permit);
         }));
-        // Each waits before the next one comes.
+        // Each task waits before the next one is started.
         tokio::task::yield_now().await;
     }
     let [one, other] = held;
@@ -69,21 +69,20 @@
     assert_eq!(*order, ["write", "urgent read", "read", "later read"]);
 }
 
-/// A permit that was granted to someone who has left in the same moment is not
-/// lost.
+/// A permit that is granted while its waiter is cancelled is not lost.
 #[tokio::test]
-async fn a_pass_that_nobody_takes_goes_to_the_next() {
+async fn a_permit_of_a_cancelled_waiter_goes_to_the_next() {
     let gate = gate();
     let held = [gate.acquire_immediately(), gate.acquire_immediately()];
-    let leaving = tokio::spawn({
+    let cancelled = tokio::spawn({
         let gate = gate.clone();
         async move { gate.acquire(WRITE, far()).await.is_some() }
     });
     tokio::task::yield_now().await;
     drop(held);
-    leaving.abort();
-    // It has passed or has been ended; neither keeps a permit.
-    let _ = leaving.await;
+    cancelled.abort();
+    // The task has finished or was cancelled; in neither case does it keep a permit.
+    let _ = cancelled.await;
     assert!(gate.acquire(READ, far()).await.is_some());
     assert!(gate.acquire(READ, far()).await.is_some());
 }
