--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -1,4 +1,4 @@
-//! A coordinator's side: grants tenants' budgets.
+//! The coordinator's side of tenants' budgets: grants them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,48 +18,48 @@
 use super::quotas::{self, BudgetRequest, THOUSANDTHS};
 use super::{BudgetEnvironment, Coordinator};
 
-/// When to ask again where the coordinator does not know the tenant yet.
+/// Pause before the next request if the coordinator does not know the tenant yet.
 const UNKNOWN_TENANT_RETRY: Duration = Duration::from_millis(150);
-/// How often a node looks whether those before it live, while it is asked in
-/// their place, and tells those after it that it is first, while it is new.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a node stays first in others' eyes after it has joined: they learn the
-/// fleet from their readers in this time.
-const JOINING_TIME: Duration = Duration::from_millis(16_000);
+/// How often a node that is asked in place of its predecessors probes them, and how often
+/// a new first coordinator announces itself to the nodes after it.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a new first coordinator announces itself. Within this time all other nodes
+/// have learned the fleet from their readers.
+const JOINING_PERIOD: Duration = Duration::from_millis(16_000);
 
 /// A coordinator's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BudgetAnswer {
-    /// What it grants.
+    /// The granted budget.
     Granted(Grant),
     /// Another node is the tenant's coordinator now.
     Elsewhere(SocketAddr),
 }
 
-/// Who asks for a budget.
+/// The node that requests a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Requester {
     /// This node.
     Itself,
-    /// Another one.
+    /// Another node.
     Peer(SocketAddr),
 }
 
-/// A tenant's budget at this node.
-struct Coordinated {
+/// The budget that this node grants from for a tenant.
+struct CoordinatedTenant {
     budget: CoordinatedBudget,
     standing: Standing,
-    /// When it was last looked whether those before this node live.
-    looked_at: Option<Instant>,
-    /// They gave no answer.
-    others_lost: bool,
-    /// What the nodes that ask were granted.
+    /// When the other coordinators were last checked.
+    checked_at: Option<Instant>,
+    /// Whether the coordinators before this node gave no answer.
+    predecessors_lost: bool,
+    /// Shares of the rate that the requesting nodes were granted.
     parts: AskerParts<Requester>,
 }
 
-/// Another node that is a tenant's coordinator.
+/// Another node that has become a tenant's coordinator.
 #[derive(Clone, Copy)]
-struct Successor {
+struct Displacement {
     address: SocketAddr,
     until: Instant,
 }
@@ -67,44 +67,45 @@
 /// Budgets that this node grants from.
 #[derive(Default)]
 pub(super) struct Coordination {
-    budgets: Mutex<HashMap<TenantName, Coordinated>>,
-    successors: Mutex<HashMap<TenantName, Successor>>,
+    budgets: Mutex<HashMap<TenantName, CoordinatedTenant>>,
+    displacements: Mutex<HashMap<TenantName, Displacement>>,
 }
 
-/// Grants a budget, or tells who does. Never waits.
+/// Grants a budget or names the node that does. Never waits.
 pub(crate) fn answer_request<E: BudgetEnvironment>(
     environment: &Arc<E>,
     request: BudgetRequest<'_>,
     requester: Requester,
 ) -> BudgetAnswer {
-    if let Some(address) = successor(environment, request.tenant) {
+    if let Some(address) = displacing_node(environment, request.tenant) {
         return BudgetAnswer::Elsewhere(address);
     }
     BudgetAnswer::Granted(grant(environment, request, requester))
 }
 
-fn successor<E: BudgetEnvironment>(
+/// The node that has recently announced itself as the tenant's coordinator.
+fn displacing_node<E: BudgetEnvironment>(
     environment: &Arc<E>,
     tenant: &TenantName,
 ) -> Option<SocketAddr> {
     let now = Instant::now();
-    let successors = lock(&environment.quotas().coordination.successors);
-    let successor = successors.get(tenant).filter(|it| now < it.until)?;
-    Some(successor.address)
+    let displacements = lock(&environment.quotas().coordination.displacements);
+    let displacement = displacements.get(tenant).filter(|it| now < it.until)?;
+    Some(displacement.address)
 }
 
-/// Another node tells that it is a tenant's coordinator.
+/// Records that another node has announced itself as a tenant's coordinator.
 pub(crate) fn record_displacement<E: BudgetEnvironment>(
     environment: &Arc<E>,
     tenant: TenantName,
     by: SocketAddr,
 ) {
-    let successor = Successor {
+    let displacement = Displacement {
         address: by,
         until: Instant::now() + ELSEWHERE_FOR,
     };
     let known =
-        lock(&environment.quotas().coordination.successors).insert(tenant.clone(), successor);
+        lock(&environment.quotas().coordination.displacements).insert(tenant.clone(), displacement);
     if known.is_none_or(|known| known.address != by) {
         Event::info("budget_coordinator_displaced")
             .field("tenant", tenant)
@@ -113,7 +114,7 @@
     }
 }
 
-/// Grants a budget as whatever this node takes itself for.
+/// Grants a budget according to this node's rank among the coordinators.
 fn grant<E: BudgetEnvironment>(
     environment: &Arc<E>,
     request: BudgetRequest<'_>,
@@ -126,8 +127,9 @@
         .position(|node| *node == Coordinator::Itself);
     let now = Instant::now();
     let mut budgets = lock(&environment.quotas().coordination.budgets);
-    let others_lost = budgets.get(tenant).is_some_and(|it| it.others_lost);
-    // A node that had turned from the first coordinator before this one was the first.
+    let predecessors_lost = budgets.get(tenant).is_some_and(|it| it.predecessors_lost);
+    // If this node is the first coordinator, the requester turned away from the first
+    // one before this node became it, and its inherited part does not apply.
     let is_first = rank == Some(0);
     let inherited = request.inherited.filter(|_| !is_first);
     let inherited = inherited.map(|part| part as f64 / THOUSANDTHS);
@@ -135,7 +137,7 @@
     let mut parts = known.map_or_else(AskerParts::default, |it| std::mem::take(&mut it.parts));
     parts.asked(requester, inherited, now);
     let held_back = held_back(environment, &mut parts, now);
-    let Some(terms) = terms(environment, tenant, rank, others_lost, held_back) else {
+    let Some(terms) = terms(environment, tenant, rank, predecessors_lost, held_back) else {
         return Grant {
             amount: 0,
             retry_after: UNKNOWN_TENANT_RETRY,
@@ -143,11 +145,11 @@
     };
     let entry = budgets
         .entry(tenant.clone())
-        .or_insert_with(|| Coordinated {
+        .or_insert_with(|| CoordinatedTenant {
             budget: CoordinatedBudget::new(now, &terms),
             standing: terms.standing,
-            looked_at: None,
-            others_lost: false,
+            checked_at: None,
+            predecessors_lost: false,
             parts: AskerParts::default(),
         });
     if entry.standing != terms.standing {
@@ -160,11 +162,11 @@
     let grant = entry.budget.grant(now, wanted, &terms);
     parts.granted(requester, wanted, grant.amount, now);
     entry.parts = parts;
-    let is_due = entry.looked_at.is_none_or(|at| now >= at + LOOK_INTERVAL);
+    let is_due = entry.checked_at.is_none_or(|at| now >= at + CHECK_INTERVAL);
     if is_due {
-        entry.looked_at = Some(now);
+        entry.checked_at = Some(now);
         drop(budgets);
-        look_around(environment, tenant, rank, &coordinators);
+        check_other_coordinators(environment, tenant, rank, &coordinators);
     }
     grant
 }
@@ -173,7 +175,7 @@
     environment: &Arc<E>,
     tenant: &str,
     rank: Option<usize>,
-    others_lost: bool,
+    predecessors_lost: bool,
     held_back: HeldBack,
 ) -> Option<GrantTerms> {
     let rules = environment.quota_rules()?;
@@ -182,12 +184,12 @@
         limit,
         in_window: rules.window_limit(limit),
         window: rules.window,
-        standing: Standing::of_rank(rank, environment.view_age(), others_lost),
+        standing: Standing::of_rank(rank, environment.view_age(), predecessors_lost),
         held_back: held_back.of(limit),
     })
 }
 
-/// What is kept for nodes which may ask another coordinator.
+/// The rate that is reserved for nodes which may ask another coordinator.
 fn held_back<E: BudgetEnvironment>(
     environment: &Arc<E>,
     parts: &mut AskerParts<Requester>,
@@ -199,10 +201,11 @@
     }
 }
 
-/// Whether a node that asks no more may ask another coordinator, since it is cut off: with
-/// both granting the whole rate, a tenant had 3,118 operations in a window of which 2,983
-/// are allowed. One that is reached has callers that pause; held back as well, their parts
-/// had 800 of 60,000 operations of other tenants refused.
+/// Whether a node that sends no more requests may be cut off and ask another coordinator.
+/// With both coordinators granting the whole rate, a tenant had 3,118 operations in a
+/// window in which 2,983 are allowed. A node that is reached only has callers that pause:
+/// when the parts of such nodes were held back as well, 800 of 60,000 operations of other
+/// tenants were refused.
 fn may_ask_another<E: BudgetEnvironment>(environment: &Arc<E>, requester: &Requester) -> bool {
     match requester {
         Requester::Itself => false,
@@ -221,26 +224,28 @@
         .log();
 }
 
-/// Looks whether those before this node live, or tells those after it that it has
-/// joined before them.
-fn look_around<E: BudgetEnvironment>(
+/// Probes the coordinators before this node or, if this node is new and the first one,
+/// announces it to the coordinators after it.
+fn check_other_coordinators<E: BudgetEnvironment>(
     environment: &Arc<E>,
     tenant: &TenantName,
     rank: Option<usize>,
     coordinators: &[Coordinator],
 ) {
     match rank {
-        Some(0) if environment.life_time() < JOINING_TIME => {
+        Some(0) if environment.uptime() < JOINING_PERIOD => {
             let after: Vec<SocketAddr> = peers(&coordinators[1..]);
-            let teller = environment.clone();
+            let environment = environment.clone();
             let tenant = tenant.clone();
-            tokio::spawn(async move { quotas::tell_displaced(&teller, &tenant, &after).await });
+            tokio::spawn(async move {
+                quotas::announce_coordinator(&environment, &tenant, &after).await
+            });
         }
         Some(rank) if rank > 0 => {
             let before: Vec<SocketAddr> = peers(&coordinators[..rank]);
-            let looker = environment.clone();
+            let environment = environment.clone();
             let tenant = tenant.clone();
-            tokio::spawn(async move { look_before(&looker, &tenant, &before).await });
+            tokio::spawn(async move { probe_predecessors(&environment, &tenant, &before).await });
         }
         Some(_) | None => {}
     }
@@ -254,12 +259,13 @@
     nodes.iter().filter_map(address).collect()
 }
 
-async fn look_before<E: BudgetEnvironment>(
+/// Asks the coordinators before this node for nothing and records whether all are silent.
+async fn probe_predecessors<E: BudgetEnvironment>(
     environment: &Arc<E>,
     tenant: &TenantName,
     before: &[SocketAddr],
 ) {
-    let mut others_lost = true;
+    let mut predecessors_lost = true;
     for address in before {
         let deadline = Instant::now() + quotas::ANSWER_TIMEOUT;
         let request = BudgetRequest {
@@ -268,11 +274,11 @@
             unused: 0,
             inherited: None,
         };
-        let answer = quotas::question(environment, *address, request, deadline).await;
-        others_lost &= answer.is_none();
+        let answer = quotas::send_question(environment, *address, request, deadline).await;
+        predecessors_lost &= answer.is_none();
     }
     let mut budgets = lock(&environment.quotas().coordination.budgets);
     if let Some(entry) = budgets.get_mut(tenant) {
-        entry.others_lost = others_lost;
+        entry.predecessors_lost = predecessors_lost;
     }
 }
--- a/crates/linkhold-gateway/src/admission/mod.rs
+++ b/crates/linkhold-gateway/src/admission/mod.rs
@@ -1,11 +1,11 @@
-//! Whether a tenant may have one more operation run now.
+//! Admission of tenants: decides whether a tenant may run one more operation now.
 //!
-//! A node spends budgets that the tenant's coordinator, a node like any other,
-//! grants ([`linkhold_core::tenancy::budget`] decides). [`quotas`] spends and
-//! asks, [`coordinator`] grants. Tenants without a limit, and nodes whose settings
-//! tell no window, cost nothing here.
+//! A node spends budgets that the tenant's coordinator, a node like any other, grants
+//! by the rules of [`linkhold_core::tenancy::budget`]. [`quotas`] spends and requests
+//! budgets, [`coordinator`] grants them. Tenants without a limit, and nodes whose
+//! settings have no quota window, are admitted without a budget.
 //!
-//! The parts meet the fleet and the network through [`BudgetEnvironment`].
+//! Both access the fleet and the network through [`BudgetEnvironment`].
 
 mod coordinator;
 mod environment;
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -1,10 +1,10 @@
-//! A node's side of tenants' budgets: spends them, asks for new ones.
+//! A node's side of tenants' budgets: spends them and requests new ones.
 //!
 //! # Invariants
 //!
-//! * No operation of a limited tenant runs without one of its budget's.
-//! * One question a tenant is under way at a time; what comes meanwhile waits for
-//!   its answer.
+//! * No operation of a limited tenant runs without taking one from its budget.
+//! * At most one question per tenant is in flight; operations that arrive meanwhile
+//!   wait for its answer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,34 +27,35 @@
 use super::coordinator::{self, BudgetAnswer, Coordination, Requester};
 use super::{BudgetEnvironment, Coordinator};
 
-/// A question is asked once more after this: datagrams may be lost. Nodes of
-/// different regions are up to 40 ms away, there and back.
-const REPEAT_AFTER: Duration = Duration::from_millis(70);
+/// Time after which a question is sent again, since datagrams may be lost. The round
+/// trip between nodes of different regions takes up to 40 ms.
+const RETRANSMIT_AFTER: Duration = Duration::from_millis(70);
 /// How long a coordinator may take to answer.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(160);
 /// How long a coordinator that gave no answer is passed over.
-const PASS_OVER: Duration = Duration::from_millis(1_000);
-/// Pause before the fleet is looked at again while it is not known.
-const FLEET_PAUSE: Duration = Duration::from_millis(40);
+const PASS_OVER_PERIOD: Duration = Duration::from_millis(1_000);
+/// Pause before the fleet is checked again while it is not known.
+const FLEET_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Parts are told in thousandths of operations a second.
+/// Unit of the parts in questions: thousandths of operations per second.
 pub(super) const THOUSANDTHS: f64 = 1_000.0;
 
-/// One tenant's budget here.
+/// The budget of one tenant at this node.
 #[derive(Default)]
-struct HeldTenant {
+struct TenantBudget {
     budget: Mutex<HeldBudget>,
     /// Operations that wait for a budget.
     waiting: AtomicU64,
-    /// Held by whoever asks for more.
-    turn: TurnMutex<()>,
-    /// What it may spend while it does not reach the first coordinator.
+    /// Held by the operation that requests the next grant.
+    request_turn: TurnMutex<()>,
+    /// The part that the node may spend while the first coordinator is unreached.
     inherited: Mutex<Option<InheritedPart>>,
 }
 
-impl HeldTenant {
-    /// What this node had of the first coordinator until it did not reach it.
-    fn inherit(&self) -> InheritedPart {
+impl TenantBudget {
+    /// The part of the rate that this node had from the first coordinator when that became
+    /// unreached.
+    fn inherited_part(&self) -> InheritedPart {
         let now = Instant::now();
         let (rate, presses) = {
             let mut budget = lock(&self.budget);
@@ -64,41 +65,41 @@
     }
 }
 
-/// What a coordinator is asked.
+/// A request to a coordinator.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BudgetRequest<'a> {
-    /// The tenant.
     pub tenant: &'a TenantName,
-    /// Operations that are wanted.
+    /// Number of operations that the node asks for.
     pub wanted: u64,
-    /// Operations of earlier grants that certainly did not run.
+    /// Number of operations of earlier grants that certainly did not run.
     pub unused: u64,
-    /// What the node had of the first coordinator, which it does not reach, in thousandths of
-    /// operations a second; `None` if it asks the first, or knows that its process has ended.
+    /// The part that the node had from the first coordinator, which it does not reach, in
+    /// thousandths of operations per second; `None` if it asks the first coordinator, or
+    /// knows that the process of the first coordinator has ended.
     pub inherited: Option<u64>,
 }
 
-/// What a node keeps of budgets.
+/// The budgets that a node spends and grants.
 #[derive(Default)]
 pub(crate) struct Quotas {
-    held: Mutex<HashMap<TenantName, Arc<HeldTenant>>>,
-    asked: Mutex<HashMap<u64, oneshot::Sender<BudgetAnswer>>>,
+    held: Mutex<HashMap<TenantName, Arc<TenantBudget>>>,
+    pending: Mutex<HashMap<u64, oneshot::Sender<BudgetAnswer>>>,
     unreached_until: Mutex<HashMap<SocketAddr, Instant>>,
     /// Budgets that this node grants from.
     pub(super) coordination: Coordination,
-    /// Which of the nodes that are silent have ended.
+    /// Which silent nodes have ended.
     pub(super) liveness: Liveness,
 }
 
 impl Quotas {
-    fn held(&self, tenant: &TenantName) -> Arc<HeldTenant> {
+    fn held(&self, tenant: &TenantName) -> Arc<TenantBudget> {
         lock(&self.held).entry(tenant.clone()).or_default().clone()
     }
 
-    /// An answer came.
+    /// Completes the request with this number by its answer.
     pub fn complete_request(&self, number: u64, answer: BudgetAnswer) {
-        if let Some(sender) = lock(&self.asked).remove(&number) {
-            // Whoever asked may have stopped waiting.
+        if let Some(sender) = lock(&self.pending).remove(&number) {
+            // The requesting task may have stopped waiting.
             let _ = sender.send(answer);
         }
     }
@@ -114,12 +115,12 @@
     }
 
     fn pass_over(&self, address: SocketAddr) {
-        let until = Instant::now() + PASS_OVER;
+        let until = Instant::now() + PASS_OVER_PERIOD;
         lock(&self.unreached_until).insert(address, until);
     }
 }
 
-/// An operation that was admitted did certainly not run.
+/// Returns the budget of an admitted operation that certainly did not run.
 pub(crate) fn return_operation<E: BudgetEnvironment>(
     environment: &Arc<E>,
     holder: &ConnectionHolder,
@@ -132,8 +133,7 @@
     }
 }
 
-/// Waits until a holder may have one more operation run, until `deadline` at the
-/// longest.
+/// Waits until a holder may run one more operation, but not beyond `deadline`.
 pub(crate) async fn admit<E: BudgetEnvironment>(
     environment: &Arc<E>,
     holder: &ConnectionHolder,
@@ -168,15 +168,15 @@
 
 async fn wait_for_budget<E: BudgetEnvironment>(
     environment: &Arc<E>,
-    held: &HeldTenant,
+    held: &TenantBudget,
     tenant: &TenantName,
     deadline: Instant,
 ) -> Result<(), NotRun> {
-    let Ok(_turn) = timeout_at(deadline.into(), held.turn.lock()).await else {
+    let Ok(_turn) = timeout_at(deadline.into(), held.request_turn.lock()).await else {
         return Err(NotRun::NoBudget);
     };
     loop {
-        // Somebody else may have brought a budget, or a refusal.
+        // Another operation may have received a grant or a refusal meanwhile.
         if let Some(decided) = try_spend(held) {
             return decided;
         }
@@ -191,12 +191,12 @@
                 inherited: None,
             }
         };
-        let grant = ask(environment, held, request, deadline).await?;
+        let grant = request_grant(environment, held, request, deadline).await?;
         lock(&held.budget).granted(asked_at, grant);
     }
 }
 
-fn try_spend(held: &HeldTenant) -> Option<Result<(), NotRun>> {
+fn try_spend(held: &TenantBudget) -> Option<Result<(), NotRun>> {
     match lock(&held.budget).spend(Instant::now()) {
         Spending::Granted => Some(Ok(())),
         Spending::Refused(retry_after) => Some(Err(NotRun::OverQuota { retry_after })),
@@ -204,23 +204,24 @@
     }
 }
 
-/// Asks the first coordinator that answers.
-async fn ask<E: BudgetEnvironment>(
+/// Asks the coordinators in order until one answers.
+async fn request_grant<E: BudgetEnvironment>(
     environment: &Arc<E>,
-    held: &HeldTenant,
+    held: &TenantBudget,
     request: BudgetRequest<'_>,
     deadline: Instant,
 ) -> Result<Grant, NotRun> {
     loop {
-        let mut pause = FLEET_PAUSE;
-        // Whether a coordinator before may live, and grant other nodes.
-        let mut may_live_before = false;
+        let mut pause = FLEET_RETRY_PAUSE;
+        // Whether a coordinator before the current one may run and grant budgets to
+        // other nodes.
+        let mut predecessor_may_run = false;
         for node in environment.coordinators(request.tenant) {
             if !environment.quotas().is_reached(node) {
-                may_live_before |= !has_ended(environment, node);
+                predecessor_may_run |= !has_ended(environment, node);
                 continue;
             }
-            let part = may_live_before.then(|| held.inherit());
+            let part = predecessor_may_run.then(|| held.inherited_part());
             if let Some(begins_at) = part.and_then(|part| part.begins_at(Instant::now())) {
                 pause = begins_at.saturating_duration_since(Instant::now());
                 break;
@@ -230,13 +231,13 @@
                 inherited,
                 ..request
             };
-            if let Some(grant) = ask_node(environment, node, request, deadline).await {
-                if !may_live_before {
+            if let Some(grant) = request_grant_from(environment, node, request, deadline).await {
+                if !predecessor_may_run {
                     lock(&held.inherited).take();
                 }
                 return Ok(grant);
             }
-            may_live_before |= !has_ended(environment, node);
+            predecessor_may_run |= !has_ended(environment, node);
         }
         if Instant::now() + pause >= deadline {
             return Err(NotRun::NoBudget);
@@ -245,7 +246,7 @@
     }
 }
 
-/// Whether a coordinator that gave no answer runs no more.
+/// Whether the process of a coordinator that gave no answer is known to have ended.
 fn has_ended<E: BudgetEnvironment>(environment: &Arc<E>, node: Coordinator) -> bool {
     match node {
         Coordinator::Itself => false,
@@ -255,7 +256,7 @@
     }
 }
 
-async fn ask_node<E: BudgetEnvironment>(
+async fn request_grant_from<E: BudgetEnvironment>(
     environment: &Arc<E>,
     node: Coordinator,
     request: BudgetRequest<'_>,
@@ -270,20 +271,20 @@
         }
         Coordinator::Peer(address) => address,
     };
-    let answer = question(environment, address, request, deadline).await?;
-    let elsewhere = match answer {
+    let answer = send_question(environment, address, request, deadline).await?;
+    let redirected_to = match answer {
         BudgetAnswer::Granted(grant) => return Some(grant),
         BudgetAnswer::Elsewhere(address) => address,
     };
-    match question(environment, elsewhere, request, deadline).await? {
+    match send_question(environment, redirected_to, request, deadline).await? {
         BudgetAnswer::Granted(grant) => Some(grant),
         BudgetAnswer::Elsewhere(_) => None,
     }
 }
 
-/// Asks a node once, and once more if no answer comes. One that gives none is
-/// passed over for a while.
-pub(super) async fn question<E: BudgetEnvironment>(
+/// Asks a node, and once more if no answer arrives. A node that gives no answer is passed
+/// over for [`PASS_OVER_PERIOD`].
+pub(super) async fn send_question<E: BudgetEnvironment>(
     environment: &Arc<E>,
     address: SocketAddr,
     request: BudgetRequest<'_>,
@@ -291,8 +292,8 @@
 ) -> Option<BudgetAnswer> {
     let (sender, mut receiver) = oneshot::channel();
     let number = rand::random();
-    lock(&environment.quotas().asked).insert(number, sender);
-    let question = |unused| BudgetMessage::Question {
+    lock(&environment.quotas().pending).insert(number, sender);
+    let message = |unused| BudgetMessage::Question {
         number,
         tenant: request.tenant.to_string(),
         wanted: request.wanted,
@@ -300,28 +301,28 @@
         inherited: request.inherited,
     };
     environment.count_question();
-    environment.send(address, question(request.unused)).await;
-    let mut answer = timeout(REPEAT_AFTER, &mut receiver).await;
+    environment.send(address, message(request.unused)).await;
+    let mut answer = timeout(RETRANSMIT_AFTER, &mut receiver).await;
     if answer.is_err() && Instant::now() < deadline {
-        // What is given back counts once, even if the first question arrived.
-        environment.send(address, question(0)).await;
-        answer = timeout(ANSWER_TIMEOUT - REPEAT_AFTER, &mut receiver).await;
+        // Unused operations are returned only once, even if the first question arrived.
+        environment.send(address, message(0)).await;
+        answer = timeout(ANSWER_TIMEOUT - RETRANSMIT_AFTER, &mut receiver).await;
     }
-    lock(&environment.quotas().asked).remove(&number);
+    lock(&environment.quotas().pending).remove(&number);
     let answer = answer.ok().and_then(Result::ok);
     if answer.is_none() {
         environment.quotas().pass_over(address);
         Event::info("budget_coordinator_unreached")
             .field("tenant", request.tenant)
             .field("node", address)
-            .field("for_ms", PASS_OVER.as_millis())
+            .field("for_ms", PASS_OVER_PERIOD.as_millis())
             .log();
     }
     answer
 }
 
-/// Tells nodes that this one is a tenant's coordinator now.
-pub(super) async fn tell_displaced<E: BudgetEnvironment>(
+/// Announces to nodes that this node is now the tenant's coordinator.
+pub(super) async fn announce_coordinator<E: BudgetEnvironment>(
     environment: &Arc<E>,
     tenant: &TenantName,
     nodes: &[SocketAddr],
--- a/crates/linkhold-gateway/src/budget_environment.rs
+++ b/crates/linkhold-gateway/src/budget_environment.rs
@@ -1,4 +1,4 @@
-//! The node as the admission of tenants sees it.
+//! Implements what the admission of tenants requires from its node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,19 +26,19 @@
 
     fn coordinators(&self, tenant: &str) -> Vec<Coordinator> {
         if self.settings.peer_address.is_none() {
-            // It is alone.
+            // The node has no peers.
             return vec![Coordinator::Itself];
         }
         self.fleet.coordinators(&self.settings.node, tenant)
     }
 
     fn view_age(&self) -> Duration {
-        // A node that has just started has read the fleet and follows nobody yet.
+        // A node that has just started has read the fleet and follows no reader yet.
         let own_reading = self.fleet.reading_age();
         self.beliefs.directory_age().min(own_reading)
     }
 
-    fn life_time(&self) -> Duration {
+    fn uptime(&self) -> Duration {
         self.started_at.elapsed()
     }
 
--- a/crates/linkhold-gateway/src/settings.rs
+++ b/crates/linkhold-gateway/src/settings.rs
@@ -8,7 +8,7 @@
 
 use crate::places::Places;
 
-/// Settings of the engine. The platform sets the time limits.
+/// Settings of the engine. Durations follow the limits that the platform sets.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
     /// Name of the node, unique in the fleet.
--- a/crates/linkhold-gateway/tests/gate.rs
+++ b/crates/linkhold-gateway/tests/gate.rs
@@ -23,15 +23,15 @@
     Gate::new(ConcurrencyLimit::new(1, 2))
 }
 
-fn far() -> Instant {
+fn far_deadline() -> Instant {
     Instant::now() + Duration::from_secs(60)
 }
 
 #[tokio::test(start_paused = true)]
 async fn no_more_than_the_limit_run_and_waiting_ends_at_the_deadline() {
     let gate = gate();
-    let first = gate.acquire(READ, far()).await;
-    let second = gate.acquire(READ, far()).await;
+    let first = gate.acquire(READ, far_deadline()).await;
+    let second = gate.acquire(READ, far_deadline()).await;
     assert!(first.is_some() && second.is_some());
     assert!(gate.acquire(WRITE, Instant::now()).await.is_none());
     drop(first);
@@ -52,7 +52,7 @@
     ] {
         let (gate, order) = (gate.clone(), order.clone());
         tasks.push(tokio::spawn(async move {
-            let permit = gate.acquire(urgency, far()).await;
+            let permit = gate.acquire(urgency, far_deadline()).await;
             order.lock().unwrap().push(name);
             drop(permit);
         }));
@@ -76,13 +76,13 @@
     let held = [gate.acquire_immediately(), gate.acquire_immediately()];
     let cancelled = tokio::spawn({
         let gate = gate.clone();
-        async move { gate.acquire(WRITE, far()).await.is_some() }
+        async move { gate.acquire(WRITE, far_deadline()).await.is_some() }
     });
     tokio::task::yield_now().await;
     drop(held);
     cancelled.abort();
     // The task has finished or was cancelled; in neither case does it keep a permit.
     let _ = cancelled.await;
-    assert!(gate.acquire(READ, far()).await.is_some());
-    assert!(gate.acquire(READ, far()).await.is_some());
+    assert!(gate.acquire(READ, far_deadline()).await.is_some());
+    assert!(gate.acquire(READ, far_deadline()).await.is_some());
 }
