--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One node's engine: what all its sessions and tasks share.
+//! One node's engine: the state that all its sessions and tasks share.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,19 +31,19 @@
 
 /// The engine.
 pub struct Gateway<P: Platform> {
-    /// The world around it.
+    /// The adapter of the platform.
     pub platform: Arc<P>,
-    /// What it was told at its start.
+    /// Settings of the engine.
     pub settings: GatewaySettings,
-    /// How fresh it keeps what it knows of the store.
+    /// Time limits for the freshness of data from the store.
     pub(crate) freshness: Freshness,
-    /// What it believes.
+    /// Known state of the cluster.
     pub beliefs: Beliefs,
-    /// Its connections to instances.
+    /// Connections to instances.
     pub pools: Pools<<P as BackendConnector>::Connection>,
-    /// What it counts.
+    /// Counters and latencies.
     pub metrics: Metrics,
-    /// Asks for evidence or a look at a primary.
+    /// Services whose primary must be checked.
     pub(crate) suspected_primaries: SuspectedPrimaries,
     pub(crate) questions: Questions,
     pub(crate) fleet: Fleet,
@@ -63,11 +63,11 @@
     pub(crate) quotas: Quotas,
     pub(crate) warm_ups: WarmUps,
     leaving: AtomicBool,
-    /// When this life of the node began.
+    /// When this process began.
     pub(crate) started_at: Instant,
 }
 
-/// Services whose primary needs looking after.
+/// Services whose primary seems lost and must be checked.
 #[derive(Default)]
 pub(crate) struct SuspectedPrimaries {
     services: Mutex<BTreeSet<ServiceName>>,
@@ -75,26 +75,26 @@
 }
 
 impl SuspectedPrimaries {
-    /// The primary of a service seems lost.
+    /// Adds a service whose primary seems lost.
     pub fn add(&self, service: &ServiceName) {
         if lock(&self.services).insert(service.clone()) {
             self.changed.notify_one();
         }
     }
 
-    /// Waits until a primary seems lost.
+    /// Waits until a service is added.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Takes the services whose primary seems lost.
+    /// Removes and returns all services.
     pub fn take(&self) -> BTreeSet<ServiceName> {
         std::mem::take(&mut lock(&self.services))
     }
 }
 
 impl<P: Platform> Gateway<P> {
-    /// An engine that knows nothing yet.
+    /// Creates an engine that does not know the cluster yet.
     pub fn new(platform: Arc<P>, settings: GatewaySettings) -> Arc<Self> {
         Arc::new(Self {
             platform,
@@ -126,56 +126,56 @@
         })
     }
 
-    /// Whether new sessions should come here.
+    /// Whether the node accepts new sessions and can serve them.
     pub fn is_ready(&self) -> bool {
         !self.is_leaving() && self.beliefs.can_serve()
     }
 
-    /// How long the store holds a question for changes.
+    /// How long the store may hold a request for changes before it answers.
     pub(crate) fn store_wait(&self) -> Duration {
         let may_be_followed = self.fleet.has_readers() || !self.fleet.is_settled();
-        // What was agreed to ends with news of the instances.
-        let awaits_news = self.beliefs.withholds_any();
-        if may_be_followed || awaits_news || self.followers.served() > 0 {
+        // Withheld acknowledgements end with a change of the instances.
+        let awaits_change = self.beliefs.withholds_any();
+        if may_be_followed || awaits_change || self.followers.served() > 0 {
             self.freshness.wait
         } else {
             self.freshness.wait_alone
         }
     }
 
-    /// Whether this node is to try a service's instances when their reachability is in
-    /// question, and to replace its primary.
+    /// Whether this node probes a service's instances when their reachability is in
+    /// question, and replaces the service's primary.
     pub(crate) fn watches(&self, service: &ServiceName) -> bool {
         let watchers = self.watchers.of(&self.settings.node, service);
         watchers.is_none_or(|watchers| watchers.includes_self)
     }
 
-    /// Where the node gets configuration and instances from.
+    /// The source from which the node gets configuration and instances.
     pub(crate) fn source(&self) -> FleetSource {
         if self.settings.peer_address.is_none() {
-            // It cannot be followed either.
+            // A node without a peer address can neither follow nor be followed.
             return FleetSource::Store;
         }
         let own = &self.settings.node;
         self.fleet.source(own, &self.settings.places)
     }
 
-    /// Longest pause between two tries of a store that gives no answer.
+    /// Longest pause between two calls to a store that gives no answer.
     pub(crate) fn longest_store_pause(&self) -> Duration {
         readers::longest_pause(self.fleet.size())
     }
 
-    /// Whether the node is being stopped.
+    /// Whether the node is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// The node is being stopped.
+    /// Marks the node as shutting down.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// An instance could not be reached or fell silent.
+    /// Records that an instance could not be reached or became silent.
     pub(crate) fn record_instance_failure(&self, instance: &Instance, reason: &'static str) {
         let now = Instant::now();
         let was_failing = self
@@ -194,12 +194,12 @@
                 .field("reason", reason)
                 .log();
         }
-        if self.is_believed_primary(&instance.id, &instance.service) {
+        if self.is_known_primary(&instance.id, &instance.service) {
             self.suspected_primaries.add(&instance.service);
         }
     }
 
-    /// An instance answered, and told how far its log has come.
+    /// Records an instance's answer and the position of its log.
     pub(crate) fn record_instance_answer(
         &self,
         id: &InstanceId,
@@ -215,7 +215,8 @@
         });
     }
 
-    /// An instance refused work that only a primary takes.
+    /// Records that an instance is no longer considered primary, for example since it
+    /// refused a write.
     pub(crate) fn record_primary_denial(&self, instance: &Instance) {
         self.beliefs.deny_primary(&instance.id);
         if self.beliefs.primary(&instance.service).is_none() {
@@ -223,9 +224,9 @@
         }
     }
 
-    /// An instance replied as a primary to a request. That proves what its log must
-    /// hold unless it had been replaced by then: reads on the evidence of a replaced
-    /// primary lack what its successor has acknowledged.
+    /// Records evidence from an instance's reply as a primary, unless the instance may
+    /// have been replaced by then: reads on the evidence of a replaced primary miss
+    /// writes that its successor has acknowledged.
     pub(crate) fn record_primary_proof(&self, instance: &Instance, sample: Sample) {
         if self.detect_outdated_primary(instance, Some(sample.position)) {
             return;
@@ -237,8 +238,8 @@
     }
 
     /// Whether an instance that answered as a primary is known to be replaced: its log
-    /// ends in an older term than another primary's did. It is not believed to lead any
-    /// more.
+    /// ends in an older term than another primary's log did. Such an instance is no
+    /// longer considered primary.
     pub(crate) fn detect_outdated_primary(
         &self,
         instance: &Instance,
@@ -252,9 +253,10 @@
         is_outdated
     }
 
-    /// Whether an instance that answered as a primary lacks what it was proved to hold
-    /// before it was asked: it has started again with nothing. It is not believed to lead
-    /// any more. Until its entry told so, 44 reads of what was written found nothing.
+    /// Whether an instance that answered as a primary has lost log entries that it was
+    /// proved to have before it was asked, since it restarted with an empty log. Such an
+    /// instance is no longer considered primary. Without this check, 44 reads of written
+    /// data found nothing until the instance's directory entry showed the restart.
     pub(crate) fn detect_lost_log(
         &self,
         instance: &Instance,
@@ -274,13 +276,13 @@
         has_lost
     }
 
-    fn is_believed_primary(&self, id: &InstanceId, service: &str) -> bool {
+    fn is_known_primary(&self, id: &InstanceId, service: &str) -> bool {
         self.beliefs
             .primary(service)
             .is_some_and(|primary| primary.id == *id)
     }
 
-    /// All figures of the node as text.
+    /// All metrics of the node as text.
     pub fn render_metrics(&self) -> String {
         let configuration = self.beliefs.configuration();
         let gauges = [
@@ -297,7 +299,7 @@
             ("store_era", u64::from(self.store_era.known().0)),
             ("entries_unusable_total", self.platform.unusable_entries()),
         ];
-        // A node that was never listed has no such age.
+        // A node that was never listed has no listing age.
         let listing_age = self.beliefs.permission.age_ms();
         let listing_age = listing_age.map(|age| ("listing_age_ms", age));
         let gauges: Vec<(&str, u64)> = gauges.into_iter().chain(listing_age).collect();
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -1,9 +1,9 @@
 //! Engine of linkhold for services whose instances announce themselves.
 //!
-//! The engine runs callers' statements on the instances of their services. It
-//! meets the world through the traits in [`ports`]; an adapter implements them
-//! for one platform. What is decided (freshness, placement, outcomes, shares
-//! of connections, failover) is decided by `linkhold-core`, without I/O.
+//! The engine runs callers' statements on the instances of their services. It accesses
+//! the platform through the traits in [`ports`]; an adapter implements them for one
+//! platform. The decisions on freshness, placement, outcomes, shares of connections and
+//! failover are made by `linkhold-core`, without I/O.
 
 mod admission;
 pub mod beliefs;
@@ -52,8 +52,7 @@
 
 use ports::Platform;
 
-/// Starts the tasks that keep a node's beliefs. They run until the process
-/// ends.
+/// Starts a node's background tasks. They run until the process ends.
 pub fn start_tasks<P: Platform>(gateway: &Arc<Gateway<P>>) {
     tokio::spawn(keeper::keep_configuration(gateway.clone()));
     tokio::spawn(keeper::keep_instances(gateway.clone()));
--- a/crates/linkhold-gateway/src/metrics.rs
+++ b/crates/linkhold-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, told as text.
+//! Counters and latency histograms, rendered as text.
 
 use std::fmt::Write;
 use std::marker::PhantomData;
@@ -11,12 +11,12 @@
 use crate::beliefs::lock;
 use crate::store_call::CallReason;
 
-/// Longest time the histogram tells apart, in microseconds.
+/// Longest time that the histogram resolves, in microseconds.
 const LONGEST_MICROSECONDS: u64 = 60_000_000;
-/// Significant digits of the histogram; two keep it small.
+/// Significant digits of the histogram; two keep the histogram small.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// A number that only rises.
+/// A number that only increases.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -26,23 +26,23 @@
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts several.
+    /// Adds `count`.
     pub fn add_many(&self, count: u64) {
         self.0.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// The number.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// What tells counters of one name apart.
+/// A label that distinguishes counters of one name.
 pub trait Label: Copy + 'static {
-    /// How metrics name each, in the order of [`Label::index`].
+    /// The label's values in the metrics, in the order of [`Label::index`].
     const NAMES: &'static [&'static str];
 
-    /// Its place among the names.
+    /// Index of this value in [`Label::NAMES`].
     fn index(self) -> usize;
 }
 
@@ -63,12 +63,12 @@
 }
 
 impl<L: Label> CountersBy<L> {
-    /// Counts one.
+    /// Adds one to the counter of a label value.
     pub fn count(&self, label: L) {
         self.counters[label.index()].add();
     }
 
-    /// Counts several.
+    /// Adds `count` to the counter of a label value.
     pub fn count_many(&self, label: L, count: u64) {
         self.counters[label.index()].add_many(count);
     }
@@ -85,22 +85,22 @@
     }
 }
 
-/// What a reader tells its followers.
+/// Kinds of messages that a reader sends to its followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FeedKind {
     /// A version of the configuration.
     Configuration,
     /// Evacuated zones.
     Evacuations,
-    /// Instances, all of them or what has changed.
+    /// Instances, as a whole list or as changes.
     Instances,
     /// The nodes of the fleet.
     Fleet,
-    /// What a follower needs to know to speak for primaries.
+    /// What a follower needs to acknowledge writes and serve strict reads for primaries.
     Permission,
-    /// That the reader lives.
+    /// Heartbeats of the reader.
     Beat,
-    /// How far a log had come.
+    /// Positions that logs had reached.
     Evidence,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// Times of statements.
+/// Latencies of statements.
 #[derive(Debug)]
 pub struct Latencies(Mutex<Histogram<u64>>);
 
@@ -133,14 +133,14 @@
 }
 
 impl Latencies {
-    /// Records one.
+    /// Records the latency of one statement.
     pub fn record(&self, took: Duration) {
         let microseconds = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
         lock(&self.0).saturating_record(microseconds.max(1));
     }
 }
 
-/// What a node counts.
+/// Counters and latencies of a node.
 #[derive(Debug, Default)]
 pub struct Metrics {
     /// Sessions accepted.
@@ -151,32 +151,32 @@
     pub reads_completed: Counter,
     /// Writes and commits answered.
     pub writes_completed: Counter,
-    /// Statements refused with the promise that they did not run.
+    /// Statements refused with the guarantee that they did not run.
     pub refused: Counter,
-    /// Statements whose fate is not known.
+    /// Statements with an unknown outcome.
     pub unknown: Counter,
-    /// Statements an instance ran and failed.
+    /// Statements that an instance answered with an error.
     pub failed: Counter,
-    /// Transactions ended by the node.
+    /// Transactions aborted by the node.
     pub transactions_aborted: Counter,
     /// Attempts beyond the first.
     pub retries: Counter,
-    /// Instances found silent or unreachable.
+    /// Times that an instance was found silent or unreachable.
     pub instance_failures: Counter,
-    /// Questions to primaries for evidence alone.
+    /// Probes of primaries for evidence only.
     pub evidence_probes: Counter,
     /// Connections relayed to an instance for another node.
     pub relays_served: Counter,
-    /// Statements that owners of connections were asked to run.
+    /// Statements that this node forwarded to owners of connections.
     pub forwarded: Counter,
     /// Statements run for other nodes.
     pub run_for_others: Counter,
-    /// Statements that this node could not send, since the instance may be cold.
+    /// Statements that this node did not send since the instance may be cold.
     pub refused_cold: Counter,
-    /// Orders to promote.
+    /// Promotion orders.
     pub promotions: Counter,
-    /// Operations refused since their tenant has used up what it may ask for, or
-    /// nobody told whether it has.
+    /// Operations refused because their tenant has used up its quota, or no coordinator
+    /// answered.
     pub over_quota: Counter,
     /// Questions to other nodes for budgets of tenants.
     pub budget_questions: Counter,
@@ -186,22 +186,22 @@
     pub store_failures: Counter,
     /// Calls to the store by reason.
     pub store_calls: CountersBy<CallReason>,
-    /// Bytes sent to followers by what they tell.
+    /// Bytes sent to followers by kind of message.
     pub feed_bytes: CountersBy<FeedKind>,
-    /// Times of reads.
+    /// Latencies of reads.
     pub read_latency: Latencies,
-    /// Times of writes and commits.
+    /// Latencies of writes and commits.
     pub write_latency: Latencies,
 }
 
 impl Metrics {
-    /// Sessions that are open.
+    /// Number of open sessions.
     pub fn sessions_open(&self) -> u64 {
         let closed = self.sessions_closed.get();
         self.sessions_opened.get().saturating_sub(closed)
     }
 
-    /// All figures in the text form that scrapers read.
+    /// All metrics in the text format that scrapers read.
     pub fn render(&self, gauges: &[(&str, u64)]) -> String {
         let counters = [
             ("sessions_opened_total", &self.sessions_opened),
