--- a/crates/linkhold-gateway/src/metrics.rs
+++ b/crates/linkhold-gateway/src/metrics.rs
@@ -120,11 +120,11 @@
     }
 }
 
-/// Latencies of statements.
+/// LatencyHistogram of statements.
 #[derive(Debug)]
-pub struct Latencies(Mutex<Histogram<u64>>);
+pub struct LatencyHistogram(Mutex<Histogram<u64>>);
 
-impl Default for Latencies {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         let histogram = Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS)
             .expect("the bounds are valid");
@@ -132,7 +132,7 @@
     }
 }
 
-impl Latencies {
+impl LatencyHistogram {
     /// Records the latency of one statement.
     pub fn record(&self, took: Duration) {
         let microseconds = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
@@ -188,10 +188,10 @@
     pub store_calls: CountersBy<CallReason>,
     /// Bytes sent to followers by kind of message.
     pub feed_bytes: CountersBy<FeedKind>,
-    /// Latencies of reads.
-    pub read_latency: Latencies,
-    /// Latencies of writes and commits.
-    pub write_latency: Latencies,
+    /// LatencyHistogram of reads.
+    pub read_latency: LatencyHistogram,
+    /// LatencyHistogram of writes and commits.
+    pub write_latency: LatencyHistogram,
 }
 
 impl Metrics {
@@ -243,7 +243,7 @@
     }
 }
 
-fn render_latencies(text: &mut String, kind: &str, latencies: &Latencies) {
+fn render_latencies(text: &mut String, kind: &str, latencies: &LatencyHistogram) {
     let histogram = lock(&latencies.0);
     for quantile in [0.5, 0.9, 0.99, 0.999] {
         let seconds = histogram.value_at_quantile(quantile) as f64 / 1e6;
