--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -1,10 +1,10 @@
-//! A node's side of tenants' budgets: spends them, asks for new ones.
+//! A node's side of tenants' budgets: spends them and requests new ones.
 //!
 //! # Invariants
 //!
-//! * No operation of a limited tenant runs without one of its budget's.
-//! * One question a tenant is under way at a time; what comes meanwhile waits for
-//!   its answer.
+//! * No operation of a limited tenant runs without taking one from its budget.
+//! * At most one question per tenant is in flight; operations that arrive meanwhile
+//!   wait for its answer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,37 +24,38 @@
 use crate::cluster_state::lock;
 use crate::liveness::{Liveness, ProcessState};
 
-use super::coordinator::{self, Asker, BudgetAnswer, Coordination};
-use super::{BudgetWorld, Coordinator};
+use super::coordinator::{self, BudgetAnswer, Coordination, Requester};
+use super::{BudgetEnvironment, Coordinator};
 
-/// A question is asked once more after this: datagrams may be lost. Nodes of
-/// different regions are up to 40 ms away, there and back.
-const REPEAT_AFTER: Duration = Duration::from_millis(70);
+/// Time after which a question is sent again, since datagrams may be lost. The round
+/// trip between nodes of different regions takes up to 40 ms.
+const RETRANSMIT_AFTER: Duration = Duration::from_millis(70);
 /// How long a coordinator may take to answer.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(160);
 /// How long a coordinator that gave no answer is passed over.
-const PASS_OVER: Duration = Duration::from_millis(1_000);
-/// Pause before the fleet is looked at again while it is not known.
-const FLEET_PAUSE: Duration = Duration::from_millis(40);
+const PASS_OVER_PERIOD: Duration = Duration::from_millis(1_000);
+/// Pause before the fleet is checked again while it is not known.
+const FLEET_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Parts are told in thousandths of operations a second.
+/// Unit of the parts in questions: thousandths of operations per second.
 pub(super) const THOUSANDTHS: f64 = 1_000.0;
 
-/// One tenant's budget here.
+/// The budget of one tenant at this node.
 #[derive(Default)]
-struct HeldTenant {
+struct TenantBudget {
     budget: Mutex<HeldBudget>,
     /// Operations that wait for a budget.
     waiting: AtomicU64,
-    /// Held by whoever asks for more.
-    turn: TurnMutex<()>,
-    /// What it may spend while it does not reach the first coordinator.
+    /// Held by the operation that requests the next grant.
+    request_turn: TurnMutex<()>,
+    /// The part that the node may spend while the first coordinator is unreached.
     inherited: Mutex<Option<InheritedPart>>,
 }
 
-impl HeldTenant {
-    /// What this node had of the first coordinator until it did not reach it.
-    fn inherit(&self) -> InheritedPart {
+impl TenantBudget {
+    /// The part of the rate that this node had from the first coordinator when that became
+    /// unreached.
+    fn inherited_part(&self) -> InheritedPart {
         let now = Instant::now();
         let (rate, presses) = {
             let mut budget = lock(&self.budget);
@@ -64,41 +65,41 @@
     }
 }
 
-/// What a coordinator is asked.
+/// A request to a coordinator.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BudgetRequest<'a> {
-    /// The tenant.
     pub tenant: &'a TenantName,
-    /// Operations that are wanted.
+    /// Number of operations that the node asks for.
     pub wanted: u64,
-    /// Operations of earlier grants that certainly did not run.
+    /// Number of operations of earlier grants that certainly did not run.
     pub unused: u64,
-    /// What the node had of the first coordinator, which it does not reach, in thousandths of
-    /// operations a second; `None` if it asks the first, or knows that its process has ended.
+    /// The part that the node had from the first coordinator, which it does not reach, in
+    /// thousandths of operations per second; `None` if it asks the first coordinator, or
+    /// knows that the process of the first coordinator has ended.
     pub inherited: Option<u64>,
 }
 
-/// What a node keeps of budgets.
+/// The budgets that a node spends and grants.
 #[derive(Default)]
 pub(crate) struct Quotas {
-    held: Mutex<HashMap<TenantName, Arc<HeldTenant>>>,
-    asked: Mutex<HashMap<u64, oneshot::Sender<BudgetAnswer>>>,
+    held: Mutex<HashMap<TenantName, Arc<TenantBudget>>>,
+    pending: Mutex<HashMap<u64, oneshot::Sender<BudgetAnswer>>>,
     unreached_until: Mutex<HashMap<SocketAddr, Instant>>,
     /// Budgets that this node grants from.
     pub(super) coordination: Coordination,
-    /// Which of the nodes that are silent have ended.
+    /// Which silent nodes have ended.
     pub(super) liveness: Liveness,
 }
 
 impl Quotas {
-    fn held(&self, tenant: &TenantName) -> Arc<HeldTenant> {
+    fn held(&self, tenant: &TenantName) -> Arc<TenantBudget> {
         lock(&self.held).entry(tenant.clone()).or_default().clone()
     }
 
-    /// An answer came.
-    pub fn answered(&self, number: u64, answer: BudgetAnswer) {
-        if let Some(sender) = lock(&self.asked).remove(&number) {
-            // Whoever asked may have stopped waiting.
+    /// Completes the request with this number by its answer.
+    pub fn complete_request(&self, number: u64, answer: BudgetAnswer) {
+        if let Some(sender) = lock(&self.pending).remove(&number) {
+            // The requesting task may have stopped waiting.
             let _ = sender.send(answer);
         }
     }
@@ -114,66 +115,68 @@
     }
 
     fn pass_over(&self, address: SocketAddr) {
-        let until = Instant::now() + PASS_OVER;
+        let until = Instant::now() + PASS_OVER_PERIOD;
         lock(&self.unreached_until).insert(address, until);
     }
 }
 
-/// An operation that was admitted did certainly not run.
-pub(crate) fn not_run<W: BudgetWorld>(world: &Arc<W>, holder: &ConnectionHolder) {
+/// Returns the budget of an admitted operation that certainly did not run.
+pub(crate) fn return_operation<E: BudgetEnvironment>(
+    environment: &Arc<E>,
+    holder: &ConnectionHolder,
+) {
     if let Some(tenant) = holder.tenant() {
-        let held = lock(&world.quotas().held).get(tenant).cloned();
+        let held = lock(&environment.quotas().held).get(tenant).cloned();
         if let Some(held) = held {
             lock(&held.budget).not_run();
         }
     }
 }
 
-/// Waits until a holder may have one more operation run, until `deadline` at the
-/// longest.
-pub(crate) async fn admit<W: BudgetWorld>(
-    world: &Arc<W>,
+/// Waits until a holder may run one more operation, but not beyond `deadline`.
+pub(crate) async fn admit<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     holder: &ConnectionHolder,
     deadline: Instant,
 ) -> Result<(), NotRun> {
-    let is_limited = |tenant: &&TenantName| world.limit(tenant).is_some();
+    let is_limited = |tenant: &&TenantName| environment.limit(tenant).is_some();
     let limited = holder.tenant().filter(is_limited);
-    let (Some(tenant), Some(_)) = (limited, world.quota_rules()) else {
+    let (Some(tenant), Some(_)) = (limited, environment.quota_rules()) else {
         return Ok(());
     };
-    let admitted = spend(world, tenant, deadline).await;
+    let admitted = spend(environment, tenant, deadline).await;
     if admitted.is_err() {
-        world.count_refusal();
+        environment.count_refusal();
     }
     admitted
 }
 
-async fn spend<W: BudgetWorld>(
-    world: &Arc<W>,
+async fn spend<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     tenant: &TenantName,
     deadline: Instant,
 ) -> Result<(), NotRun> {
-    let held = world.quotas().held(tenant);
+    let held = environment.quotas().held(tenant);
     if let Some(decided) = try_spend(&held) {
         return decided;
     }
     held.waiting.fetch_add(1, Ordering::Relaxed);
-    let decided = wait_for_budget(world, &held, tenant, deadline).await;
+    let decided = wait_for_budget(environment, &held, tenant, deadline).await;
     held.waiting.fetch_sub(1, Ordering::Relaxed);
     decided
 }
 
-async fn wait_for_budget<W: BudgetWorld>(
-    world: &Arc<W>,
-    held: &HeldTenant,
+async fn wait_for_budget<E: BudgetEnvironment>(
+    environment: &Arc<E>,
+    held: &TenantBudget,
     tenant: &TenantName,
     deadline: Instant,
 ) -> Result<(), NotRun> {
-    let Ok(_turn) = timeout_at(deadline.into(), held.turn.lock()).await else {
+    let Ok(_turn) = timeout_at(deadline.into(), held.request_turn.lock()).await else {
         return Err(NotRun::NoBudget);
     };
     loop {
-        // Somebody else may have brought a budget, or a refusal.
+        // Another operation may have received a grant or a refusal meanwhile.
         if let Some(decided) = try_spend(held) {
             return decided;
         }
@@ -188,12 +191,12 @@
                 inherited: None,
             }
         };
-        let grant = ask(world, held, request, deadline).await?;
+        let grant = request_grant(environment, held, request, deadline).await?;
         lock(&held.budget).granted(asked_at, grant);
     }
 }
 
-fn try_spend(held: &HeldTenant) -> Option<Result<(), NotRun>> {
+fn try_spend(held: &TenantBudget) -> Option<Result<(), NotRun>> {
     match lock(&held.budget).spend(Instant::now()) {
         Spending::Granted => Some(Ok(())),
         Spending::Refused(retry_after) => Some(Err(NotRun::OverQuota { retry_after })),
@@ -201,23 +204,24 @@
     }
 }
 
-/// Asks the first coordinator that answers.
-async fn ask<W: BudgetWorld>(
-    world: &Arc<W>,
-    held: &HeldTenant,
+/// Asks the coordinators in order until one answers.
+async fn request_grant<E: BudgetEnvironment>(
+    environment: &Arc<E>,
+    held: &TenantBudget,
     request: BudgetRequest<'_>,
     deadline: Instant,
 ) -> Result<Grant, NotRun> {
     loop {
-        let mut pause = FLEET_PAUSE;
-        // Whether a coordinator before may live, and grant other nodes.
-        let mut may_live_before = false;
-        for node in world.coordinators(request.tenant) {
-            if !world.quotas().is_reached(node) {
-                may_live_before |= !has_ended(world, node);
+        let mut pause = FLEET_RETRY_PAUSE;
+        // Whether a coordinator before the current one may run and grant budgets to
+        // other nodes.
+        let mut predecessor_may_run = false;
+        for node in environment.coordinators(request.tenant) {
+            if !environment.quotas().is_reached(node) {
+                predecessor_may_run |= !has_ended(environment, node);
                 continue;
             }
-            let part = may_live_before.then(|| held.inherit());
+            let part = predecessor_may_run.then(|| held.inherited_part());
             if let Some(begins_at) = part.and_then(|part| part.begins_at(Instant::now())) {
                 pause = begins_at.saturating_duration_since(Instant::now());
                 break;
@@ -227,13 +231,13 @@
                 inherited,
                 ..request
             };
-            if let Some(grant) = ask_node(world, node, request, deadline).await {
-                if !may_live_before {
+            if let Some(grant) = request_grant_from(environment, node, request, deadline).await {
+                if !predecessor_may_run {
                     lock(&held.inherited).take();
                 }
                 return Ok(grant);
             }
-            may_live_before |= !has_ended(world, node);
+            predecessor_may_run |= !has_ended(environment, node);
         }
         if Instant::now() + pause >= deadline {
             return Err(NotRun::NoBudget);
@@ -242,87 +246,91 @@
     }
 }
 
-/// Whether a coordinator that gave no answer runs no more.
-fn has_ended<W: BudgetWorld>(world: &Arc<W>, node: Coordinator) -> bool {
+/// Whether the process of a coordinator that gave no answer is known to have ended.
+fn has_ended<E: BudgetEnvironment>(environment: &Arc<E>, node: Coordinator) -> bool {
     match node {
         Coordinator::Itself => false,
         Coordinator::Peer(address) => {
-            world.quotas().liveness.last_state(address) == Some(ProcessState::Ended)
+            environment.quotas().liveness.last_state(address) == Some(ProcessState::Ended)
         }
     }
 }
 
-async fn ask_node<W: BudgetWorld>(
-    world: &Arc<W>,
+async fn request_grant_from<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     node: Coordinator,
     request: BudgetRequest<'_>,
     deadline: Instant,
 ) -> Option<Grant> {
     let address = match node {
-        Coordinator::Itself => match coordinator::answer(world, request, Asker::Itself) {
-            BudgetAnswer::Granted(grant) => return Some(grant),
-            BudgetAnswer::Elsewhere(address) => address,
-        },
+        Coordinator::Itself => {
+            match coordinator::answer_request(environment, request, Requester::Itself) {
+                BudgetAnswer::Granted(grant) => return Some(grant),
+                BudgetAnswer::Elsewhere(address) => address,
+            }
+        }
         Coordinator::Peer(address) => address,
     };
-    let answer = question(world, address, request, deadline).await?;
-    let elsewhere = match answer {
+    let answer = send_question(environment, address, request, deadline).await?;
+    let redirected_to = match answer {
         BudgetAnswer::Granted(grant) => return Some(grant),
         BudgetAnswer::Elsewhere(address) => address,
     };
-    match question(world, elsewhere, request, deadline).await? {
+    match send_question(environment, redirected_to, request, deadline).await? {
         BudgetAnswer::Granted(grant) => Some(grant),
         BudgetAnswer::Elsewhere(_) => None,
     }
 }
 
-/// Asks a node once, and once more if no answer comes. One that gives none is
-/// passed over for a while.
-pub(super) async fn question<W: BudgetWorld>(
-    world: &Arc<W>,
+/// Asks a node, and once more if no answer arrives. A node that gives no answer is passed
+/// over for [`PASS_OVER_PERIOD`].
+pub(super) async fn send_question<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     address: SocketAddr,
     request: BudgetRequest<'_>,
     deadline: Instant,
 ) -> Option<BudgetAnswer> {
     let (sender, mut receiver) = oneshot::channel();
     let number = rand::random();
-    lock(&world.quotas().asked).insert(number, sender);
-    let question = |unused| BudgetMessage::Question {
+    lock(&environment.quotas().pending).insert(number, sender);
+    let message = |unused| BudgetMessage::Question {
         number,
         tenant: request.tenant.to_string(),
         wanted: request.wanted,
         unused,
         inherited: request.inherited,
     };
-    world.count_question();
-    world.send(address, question(request.unused)).await;
-    let mut answer = timeout(REPEAT_AFTER, &mut receiver).await;
+    environment.count_question();
+    environment.send(address, message(request.unused)).await;
+    let mut answer = timeout(RETRANSMIT_AFTER, &mut receiver).await;
     if answer.is_err() && Instant::now() < deadline {
-        // What is given back counts once, even if the first question arrived.
-        world.send(address, question(0)).await;
-        answer = timeout(ANSWER_TIMEOUT - REPEAT_AFTER, &mut receiver).await;
+        // Unused operations are returned only once, even if the first question arrived.
+        environment.send(address, message(0)).await;
+        answer = timeout(ANSWER_TIMEOUT - RETRANSMIT_AFTER, &mut receiver).await;
     }
-    lock(&world.quotas().asked).remove(&number);
+    lock(&environment.quotas().pending).remove(&number);
     let answer = answer.ok().and_then(Result::ok);
     if answer.is_none() {
-        world.quotas().pass_over(address);
+        environment.quotas().pass_over(address);
         Event::info("budget_coordinator_unreached")
             .field("tenant", request.tenant)
             .field("node", address)
-            .field("for_ms", PASS_OVER.as_millis())
+            .field("for_ms", PASS_OVER_PERIOD.as_millis())
             .log();
     }
     answer
 }
 
-/// Tells nodes that this one is a tenant's coordinator now.
-pub(super) async fn tell_displaced<W: BudgetWorld>(
-    world: &Arc<W>,
+/// Announces to nodes that this node is now the tenant's coordinator.
+pub(super) async fn announce_coordinator<E: BudgetEnvironment>(
+    environment: &Arc<E>,
     tenant: &TenantName,
     nodes: &[SocketAddr],
 ) {
     for node in nodes {
         let tenant = tenant.to_string();
-        world.send(*node, BudgetMessage::Displaced { tenant }).await;
+        environment
+            .send(*node, BudgetMessage::Displaced { tenant })
+            .await;
     }
 }
--- a/crates/linkhold-gateway/src/budget_world.rs
+++ b/crates/linkhold-gateway/src/budget_environment.rs
@@ -1,4 +1,4 @@
-//! The node as the admission of tenants sees it.
+//! Implements what the admission of tenants requires from its node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use linkhold_peer::{BudgetMessage, encode_budget};
 
-use crate::admission::{BudgetWorld, Coordinator, Quotas};
+use crate::admission::{BudgetEnvironment, Coordinator, Quotas};
 use crate::gateway::Gateway;
 use crate::ports::Platform;
 
-impl<P: Platform> BudgetWorld for Gateway<P> {
+impl<P: Platform> BudgetEnvironment for Gateway<P> {
     fn quotas(&self) -> &Quotas {
         &self.quotas
     }
@@ -26,19 +26,19 @@
 
     fn coordinators(&self, tenant: &str) -> Vec<Coordinator> {
         if self.settings.peer_address.is_none() {
-            // It is alone.
+            // The node has no peers.
             return vec![Coordinator::Itself];
         }
         self.fleet.coordinators(&self.settings.node, tenant)
     }
 
     fn view_age(&self) -> Duration {
-        // A node that has just started has read the fleet and follows nobody yet.
+        // A node that has just started has read the fleet and follows no reader yet.
         let own_reading = self.fleet.last_read_age();
         self.cluster.directory_age().min(own_reading)
     }
 
-    fn life_time(&self) -> Duration {
+    fn uptime(&self) -> Duration {
         self.started_at.elapsed()
     }
 
--- a/crates/linkhold-gateway/src/evidence/primary_verification.rs
+++ b/crates/linkhold-gateway/src/evidence/primary_verification.rs
@@ -17,7 +17,7 @@
 use crate::gateway::Gateway;
 use crate::pool::CheckoutError;
 use crate::ports::{BackendErrorKind, Platform};
-use crate::request::attempt::{NotRunCause, of_checkout};
+use crate::request::attempt::{NotRunCause, checkout_failure_cause};
 use crate::state::UnansweredVerification;
 
 /// Verifies that `primary` was not replaced, unless that is verified already. The error
@@ -62,7 +62,7 @@
         }
         verdict @ (PrimaryVerdict::Replaced(_) | PrimaryVerdict::Unknown) => {
             log_not_verified(primary, &statuses, verdict);
-            gateway.instance_denied_primary(primary);
+            gateway.record_primary_denial(primary);
             Err(NotRunCause::Refused(BackendErrorKind::ReadOnly))
         }
     }
@@ -111,14 +111,14 @@
     }
     match survey::probe_write_transaction(gateway, primary).await {
         Ok(reply) if reply.error() == Some(BackendErrorKind::ReadOnly) => {
-            gateway.instance_denied_primary(primary);
+            gateway.record_primary_denial(primary);
             NotRunCause::Refused(BackendErrorKind::ReadOnly)
         }
         Ok(_) => NotRunCause::Refused(BackendErrorKind::Busy),
         Err(error) => {
-            let cause = of_checkout(gateway, primary, CheckoutError::Connect(error));
+            let cause = checkout_failure_cause(gateway, primary, CheckoutError::Connect(error));
             if cause == NotRunCause::Unreachable {
-                gateway.instance_failed(primary, "unreachable");
+                gateway.record_instance_failure(primary, "unreachable");
             }
             cause
         }
--- a/crates/linkhold-gateway/src/evidence/survey.rs
+++ b/crates/linkhold-gateway/src/evidence/survey.rs
@@ -44,7 +44,7 @@
             // A primary that may have been replaced proves nothing about its service's
             // log.
             if !gateway.cluster.needs_verification(&instance.id) {
-                gateway.primary_proved(instance, Sample { sent_at, position });
+                gateway.record_primary_proof(instance, Sample { sent_at, position });
             }
             Reachability::Reached
         }
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -55,7 +55,7 @@
     match own {
         Reachability::Reached => {
             gateway.relays.forget(&primary.id);
-            gateway.instance_answered(&primary.id, Duration::ZERO, None);
+            gateway.record_instance_answer(&primary.id, Duration::ZERO, None);
             if gateway.cluster.is_leaving(&primary.id, Instant::now()) {
                 return Some(FailoverReason::Leaving);
             }
@@ -69,7 +69,7 @@
         Reachability::Unreached => {
             // A relayed primary may be served through a peer meanwhile.
             if !gateway.relays.is_relayed(&primary.id) {
-                gateway.instance_failed(&primary, "unreachable");
+                gateway.record_instance_failure(&primary, "unreachable");
             }
             let findings = match early {
                 Some(findings) => findings,
@@ -85,7 +85,7 @@
 fn relay_through<P: Platform>(gateway: &Gateway<P>, primary: &Instance, peers: Vec<SocketAddr>) {
     if peers.is_empty() {
         if gateway.relays.forget(&primary.id) {
-            gateway.instance_failed(primary, "unreachable");
+            gateway.record_instance_failure(primary, "unreachable");
         }
         return;
     }
@@ -111,7 +111,7 @@
     gateway
         .relays
         .set_peers(&primary.id, &instance_region, relay_peers);
-    gateway.instance_answered(&primary.id, Duration::ZERO, None);
+    gateway.record_instance_answer(&primary.id, Duration::ZERO, None);
 }
 
 /// Why a primary is to be replaced, by the findings of its watchers alone.
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -366,7 +366,7 @@
         return None;
     }
     if !is_primary_of_newest_term(gateway, old, &present) {
-        gateway.instance_denied_primary(old);
+        gateway.record_primary_denial(old);
         return None;
     }
     // A misplaced primary does not leave by itself: it waits for its successor.
--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -36,9 +36,9 @@
 use crate::gateway::Gateway;
 use crate::owners::{InstanceOwners, PermittedOwners};
 use crate::ports::{BackendErrorKind, Platform};
-use crate::request::attempt::{Answer, Attempt, Bounds, Held, NotRunCause};
-use crate::request::batch::{Frame, Work};
-use crate::request::conversation::InFlight;
+use crate::request::attempt::{Answer, AttemptLimits, AttemptOutcome, HeldConnection, NotRunCause};
+use crate::request::batch::{TransactionFrame, Work};
+use crate::request::exchange::InFlight;
 use crate::request::principal::Principal;
 
 use link::{CallFailure, Link};
@@ -93,19 +93,19 @@
     instance: &Arc<Instance>,
     principal: Principal<'_>,
     work: &Work,
-    frame: Frame,
-    bounds: Bounds,
-) -> Option<Attempt<P>> {
+    frame: TransactionFrame,
+    bounds: AttemptLimits,
+) -> Option<AttemptOutcome<P>> {
     let mut candidates: Vec<SocketAddr> = owners.addresses().to_vec();
     let mut retry_after: Option<Duration> = None;
     loop {
         if Instant::now() >= bounds.answer_by {
-            return Some(Attempt::NotRun(NotRunCause::NoConnection));
+            return Some(AttemptOutcome::NotRun(NotRunCause::NoConnection));
         }
         let Some(owner) = gateway.forwarding.choose(&candidates) else {
             // Every owner that may send to the cold instance has used up its allowance.
             let cause = NotRunCause::WarmingUp(retry_after?);
-            return Some(Attempt::NotRun(cause));
+            return Some(AttemptOutcome::NotRun(cause));
         };
         let link = gateway.forwarding.link(owner, gateway.fleet.key()?);
         let statement = ForwardStatement {
@@ -130,14 +130,15 @@
             work,
         };
         // A lost owner cannot make a read or an open transaction take effect.
-        let is_repeatable = work.access() == Access::Read || matches!(frame, Frame::Opening { .. });
+        let is_repeatable =
+            work.access() == Access::Read || matches!(frame, TransactionFrame::Begin { .. });
         match call.run(statement, bounds.answer_by, is_repeatable).await {
             // Another owner may know that the instance is warm, or have allowance left.
-            CallEnd::Attempt(Attempt::NotRun(NotRunCause::WarmingUp(after))) => {
+            CallEnd::AttemptOutcome(AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))) => {
                 retry_after = Some(retry_after.map_or(after, |earliest| earliest.min(after)));
                 candidates.retain(|other| *other != owner);
             }
-            CallEnd::Attempt(attempt) => return Some(attempt),
+            CallEnd::AttemptOutcome(attempt) => return Some(attempt),
             CallEnd::NotTaken(why) => gateway.forwarding.suspend(owner, why),
         }
     }
@@ -150,7 +151,7 @@
     principal: Principal<'_>,
     work: &Work,
     answer_by: Instant,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let opened_by = lent.number.take();
     let statement = ForwardStatement {
         number: rand::random(),
@@ -158,7 +159,7 @@
         instance: lent.instance.id.0.to_string(),
         values: translate::values(principal.values),
         work: translate::work(work),
-        frame: translate::frame(Frame::Inside),
+        frame: translate::frame(TransactionFrame::InTransaction),
         is_read: false,
         priority: 0,
         connection_within_ms: 0,
@@ -174,9 +175,9 @@
         work,
     };
     match call.run(statement, answer_by, false).await {
-        CallEnd::Attempt(attempt) => attempt,
+        CallEnd::AttemptOutcome(attempt) => attempt,
         // The owner lost the connection, which rolls its transaction back.
-        CallEnd::NotTaken(_) => Attempt::NotRun(NotRunCause::Unreachable),
+        CallEnd::NotTaken(_) => AttemptOutcome::NotRun(NotRunCause::Unreachable),
     }
 }
 
@@ -190,7 +191,7 @@
 
 /// How a call ended.
 enum CallEnd<P: Platform> {
-    Attempt(Attempt<P>),
+    AttemptOutcome(AttemptOutcome<P>),
     /// The owner did not take the statement, or is lost and cannot make it take effect.
     /// Holds the reason that is logged.
     NotTaken(&'static str),
@@ -223,17 +224,17 @@
             Err(CallFailure::NotSent) => CallEnd::NotTaken("unreachable"),
             Err(CallFailure::Broken) => {
                 lent.number = None;
-                CallEnd::Attempt(Attempt::Lost)
+                CallEnd::AttemptOutcome(AttemptOutcome::Lost)
             }
             Err(CallFailure::OwnerSilent) if is_repeatable => CallEnd::NotTaken("silent"),
             Err(CallFailure::OwnerSilent) => {
                 let owner = self.link.owner();
                 self.gateway.forwarding.suspend(owner, "silent");
-                CallEnd::Attempt(Attempt::TimedOut)
+                CallEnd::AttemptOutcome(AttemptOutcome::TimedOut)
             }
             Err(CallFailure::NoAnswer) => {
                 self.gateway.statement_timed_out(self.instance, sent_at);
-                CallEnd::Attempt(Attempt::TimedOut)
+                CallEnd::AttemptOutcome(AttemptOutcome::TimedOut)
             }
         }
     }
@@ -263,44 +264,44 @@
         if !is_lent {
             lent.number = None;
         }
-        CallEnd::Attempt(match outcome {
+        CallEnd::AttemptOutcome(match outcome {
             ForwardOutcome::Answered { reply, begin, .. } => {
                 let reply = translate::reply_from(reply);
                 let took = sent_at.elapsed();
-                gateway.instance_answered(&self.instance.id, took, reply.position);
-                Attempt::Answered(Answer {
+                gateway.record_instance_answer(&self.instance.id, took, reply.position);
+                AttemptOutcome::Answered(Answer {
                     reply,
                     begin: begin.map(|begin| (sent_at, translate::reply_from(begin))),
-                    held: Held::Lent(lent),
+                    held: HeldConnection::Lent(lent),
                     sent_at,
                 })
             }
             ForwardOutcome::NotOwner => return CallEnd::NotTaken("not_owner"),
-            ForwardOutcome::NoConnection => Attempt::NotRun(NotRunCause::NoConnection),
+            ForwardOutcome::NoConnection => AttemptOutcome::NotRun(NotRunCause::NoConnection),
             ForwardOutcome::Unreachable => {
                 gateway.connection_lost(self.instance);
-                Attempt::NotRun(NotRunCause::Unreachable)
+                AttemptOutcome::NotRun(NotRunCause::Unreachable)
             }
             ForwardOutcome::Refused(kind) => {
                 let kind: BackendErrorKind = translate::error_from(kind);
                 gateway.note_refusal(self.instance, kind);
-                Attempt::NotRun(NotRunCause::Refused(kind))
+                AttemptOutcome::NotRun(NotRunCause::Refused(kind))
             }
             ForwardOutcome::Ineligible(reason) => {
                 let reason = translate::ineligible_from(reason);
-                Attempt::NotRun(NotRunCause::Ineligible(reason))
+                AttemptOutcome::NotRun(NotRunCause::Ineligible(reason))
             }
             ForwardOutcome::WarmingUp(after_ms) => {
                 let after = Duration::from_millis(after_ms);
-                Attempt::NotRun(NotRunCause::WarmingUp(after))
+                AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
             }
             ForwardOutcome::Lost => {
                 gateway.connection_lost(self.instance);
-                Attempt::Lost
+                AttemptOutcome::Lost
             }
             ForwardOutcome::TimedOut => {
                 gateway.statement_timed_out(self.instance, sent_at);
-                Attempt::TimedOut
+                AttemptOutcome::TimedOut
             }
         })
     }
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -28,8 +28,10 @@
 use crate::gateway::Gateway;
 use crate::pool::Lease;
 use crate::ports::Platform;
-use crate::request::attempt::{self, Answer, Attempt, Bounds, ConnectionOf, Held, NotRunCause};
-use crate::request::batch::{Frame, Work};
+use crate::request::attempt::{
+    self, Answer, AttemptLimits, AttemptOutcome, ConnectionOf, HeldConnection, NotRunCause,
+};
+use crate::request::batch::{TransactionFrame, Work};
 use crate::request::principal::Principal;
 use crate::request::transaction::roll_back;
 
@@ -213,7 +215,7 @@
         return ForwardOutcome::NotOwner;
     }
     let now = Instant::now();
-    let bounds = Bounds {
+    let bounds = AttemptLimits {
         urgency: Urgency {
             is_read: statement.is_read,
             priority: statement.priority,
@@ -228,11 +230,11 @@
         values: &session_values(statement),
         regions: &AllowedRegions::listed(&statement.regions),
     };
-    let opens = matches!(frame, Frame::Opening { .. });
-    let attempt = attempt::run_here(gateway, &instance, principal, &work, frame, bounds).await;
+    let opens = matches!(frame, TransactionFrame::Begin { .. });
+    let attempt = attempt::run_locally(gateway, &instance, principal, &work, frame, bounds).await;
     match attempt {
-        Attempt::Answered(answer) if opens => lent.finish_statement(statement.number, answer),
-        Attempt::Answered(answer) => {
+        AttemptOutcome::Answered(answer) if opens => lent.finish_statement(statement.number, answer),
+        AttemptOutcome::Answered(answer) => {
             let (reply, begin) = replies(&answer);
             answer.held.finish(answer.reply.status);
             ForwardOutcome::Answered {
@@ -263,7 +265,7 @@
         return ForwardOutcome::Unreachable;
     };
     let answer_by = Instant::now() + Duration::from_millis(statement.answer_within_ms);
-    let frame = Frame::Inside;
+    let frame = TransactionFrame::InTransaction;
     let work: Work = translate::work_from(&statement.work);
     let principal = Principal {
         holder: &lease.holder().clone(),
@@ -274,10 +276,10 @@
     gateway
         .wait_for_warm_up_allowance(lease.instance(), opened_at, answer_by)
         .await;
-    let _pass = lease.gate().enter_at_once();
-    let attempt = attempt::run_on_own(gateway, lease, principal, &work, frame, answer_by).await;
+    let _permit = lease.gate().acquire_immediately();
+    let attempt = attempt::run_on_lease(gateway, lease, principal, &work, frame, answer_by).await;
     match attempt {
-        Attempt::Answered(answer) => lent.finish_statement(opened_by, answer),
+        AttemptOutcome::Answered(answer) => lent.finish_statement(opened_by, answer),
         failed => outcome_of(failed),
     }
 }
@@ -295,21 +297,21 @@
     )
 }
 
-fn outcome_of<P: Platform>(attempt: Attempt<P>) -> ForwardOutcome {
+fn outcome_of<P: Platform>(attempt: AttemptOutcome<P>) -> ForwardOutcome {
     match attempt {
-        Attempt::NotRun(NotRunCause::NoConnection) => ForwardOutcome::NoConnection,
-        Attempt::NotRun(NotRunCause::Unreachable) => ForwardOutcome::Unreachable,
-        Attempt::NotRun(NotRunCause::Refused(kind)) => {
+        AttemptOutcome::NotRun(NotRunCause::NoConnection) => ForwardOutcome::NoConnection,
+        AttemptOutcome::NotRun(NotRunCause::Unreachable) => ForwardOutcome::Unreachable,
+        AttemptOutcome::NotRun(NotRunCause::Refused(kind)) => {
             ForwardOutcome::Refused(translate::error(kind))
         }
-        Attempt::NotRun(NotRunCause::WarmingUp(after)) => {
+        AttemptOutcome::NotRun(NotRunCause::WarmingUp(after)) => {
             ForwardOutcome::WarmingUp(milliseconds(after))
         }
-        Attempt::NotRun(NotRunCause::Ineligible(reason)) => {
+        AttemptOutcome::NotRun(NotRunCause::Ineligible(reason)) => {
             ForwardOutcome::Ineligible(translate::ineligible(reason))
         }
-        Attempt::Lost | Attempt::Answered(_) => ForwardOutcome::Lost,
-        Attempt::TimedOut => ForwardOutcome::TimedOut,
+        AttemptOutcome::Lost | AttemptOutcome::Answered(_) => ForwardOutcome::Lost,
+        AttemptOutcome::TimedOut => ForwardOutcome::TimedOut,
     }
 }
 
@@ -349,7 +351,7 @@
     fn finish_statement(&self, number: u64, answer: Answer<P>) -> ForwardOutcome {
         let (reply, begin) = replies(&answer);
         let status = answer.reply.status;
-        let Held::Own(lease) = answer.held else {
+        let HeldConnection::Own(lease) = answer.held else {
             unreachable!("a node runs others' statements on connections of its own");
         };
         let is_lent = status == TransactionStatus::Open && self.is_still_wanted(number);
@@ -433,7 +435,7 @@
 /// Gives a connection back after rolling back its open transaction, if any.
 fn give_back<C: crate::ports::BackendConnection>(lease: Lease<C>, status: TransactionStatus) {
     if status == TransactionStatus::Idle {
-        attempt::finish_own(lease, status);
+        attempt::finish_lease(lease, status);
     } else {
         tokio::spawn(roll_back(lease));
     }
--- a/crates/linkhold-gateway/src/gate.rs
+++ b/crates/linkhold-gateway/src/gate.rs
@@ -1,10 +1,10 @@
-//! Statements of this node that are under way at one instance.
+//! Limits the statements of this node that run at one instance at a time.
 //!
 //! # Invariants
 //!
-//! * No more than the limit run at a time, but for statements in transactions:
-//!   these hold a connection, and whatever else they hold, until they end.
-//! * Who waits goes in the order of urgency, then of arrival.
+//! * No more statements than the limit run at a time, except for statements in
+//!   transactions: these hold a connection and other resources until they end.
+//! * Waiting statements run in the order of urgency, then of arrival.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -16,7 +16,7 @@
 
 use crate::cluster_state::lock;
 
-/// Rank of a request in queues; the lowest goes first.
+/// Rank of a request in queues; the lowest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
     /// Writes go before reads.
@@ -30,28 +30,28 @@
 struct State {
     limit: ConcurrencyLimit,
     running: usize,
-    waiters: BTreeMap<WaiterKey, oneshot::Sender<Pass>>,
+    waiters: BTreeMap<WaiterKey, oneshot::Sender<Permit>>,
     next_waiter: u64,
 }
 
-/// The gate before one instance.
+/// The concurrency limit of one instance and its queue.
 pub struct Gate {
     state: Mutex<State>,
 }
 
-/// The right to have one statement under way; given back when dropped.
-pub struct Pass {
+/// The right to run one statement; returned when dropped.
+pub struct Permit {
     gate: Arc<Gate>,
 }
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.gate.leave();
+        self.gate.release();
     }
 }
 
 impl Gate {
-    /// A gate that nobody has passed.
+    /// A gate without running statements.
     pub fn new(limit: ConcurrencyLimit) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(State {
@@ -63,23 +63,23 @@
         })
     }
 
-    /// The node may hold so many connections now.
+    /// Sets how many connections the node may hold.
     pub fn set_connections(&self, connections: usize) {
         lock(&self.state).limit.set_connections(connections);
     }
 
-    /// The instance had no room.
-    pub fn refused(&self) {
+    /// Records that the instance refused a statement because it was full.
+    pub fn record_refusal(&self) {
         lock(&self.state).limit.record_refusal(Instant::now());
     }
 
-    /// Waits until a statement may go; `None` if it may not before `deadline`.
-    pub async fn enter(self: &Arc<Self>, urgency: Urgency, deadline: Instant) -> Option<Pass> {
+    /// Waits until a statement may run; `None` if it may not before `deadline`.
+    pub async fn acquire(self: &Arc<Self>, urgency: Urgency, deadline: Instant) -> Option<Permit> {
         let (receiver, key) = {
             let mut state = lock(&self.state);
             if state.running < state.limit.get() {
                 state.running += 1;
-                return Some(Pass { gate: self.clone() });
+                return Some(Permit { gate: self.clone() });
             }
             let (sender, receiver) = oneshot::channel();
             let key = (urgency, state.next_waiter);
@@ -98,39 +98,39 @@
             .ok()
     }
 
-    /// Lets a statement of a transaction go.
-    pub fn enter_at_once(self: &Arc<Self>) -> Pass {
+    /// Lets a statement of an open transaction run at once, even beyond the limit.
+    pub fn acquire_immediately(self: &Arc<Self>) -> Permit {
         lock(&self.state).running += 1;
-        Pass { gate: self.clone() }
+        Permit { gate: self.clone() }
     }
 
-    fn leave(self: &Arc<Self>) {
+    fn release(self: &Arc<Self>) {
         let mut state = lock(&self.state);
         state.running -= 1;
         if !state.waiters.is_empty() {
             state.limit.record_answer_under_load();
         }
-        let mut passes = Vec::new();
+        let mut permits = Vec::new();
         while state.running < state.limit.get() {
             let Some((_, waiter)) = state.waiters.pop_first() else {
                 break;
             };
             state.running += 1;
-            passes.push((waiter, Pass { gate: self.clone() }));
+            permits.push((waiter, Permit { gate: self.clone() }));
         }
         drop(state);
-        for (waiter, pass) in passes {
-            // A pass that nobody takes is given back as it is dropped.
-            let _ = waiter.send(pass);
+        for (waiter, permit) in permits {
+            // A permit whose waiter has gone is returned when it is dropped.
+            let _ = waiter.send(permit);
         }
     }
 }
 
-/// A place in the queue.
+/// An entry in the queue, removed when dropped.
 struct Waiting<'a> {
     gate: &'a Gate,
     key: WaiterKey,
-    receiver: oneshot::Receiver<Pass>,
+    receiver: oneshot::Receiver<Permit>,
 }
 
 impl Drop for Waiting<'_> {
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -11,12 +11,12 @@
     /// Records that a connection to an instance could not be made.
     pub(crate) fn connect_failed(&self, instance: &Instance, error: ConnectError) {
         match error {
-            ConnectError::Unreachable => self.instance_failed(instance, "unreachable"),
+            ConnectError::Unreachable => self.record_instance_failure(instance, "unreachable"),
             ConnectError::WrongInstance => {
-                self.instance_failed(instance, "address_used_by_another");
+                self.record_instance_failure(instance, "address_used_by_another");
             }
             ConnectError::Closed if !self.answered_lately(instance) => {
-                self.instance_failed(instance, "closed_at_once");
+                self.record_instance_failure(instance, "closed_at_once");
             }
             ConnectError::Rejected | ConnectError::Closed => {
                 self.note_refusal(instance, BackendErrorKind::TooManyConnections);
@@ -33,7 +33,7 @@
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         if is_primary {
-            self.attention.suspect(&instance.service);
+            self.suspected_primaries.add(&instance.service);
         }
     }
 
@@ -43,7 +43,7 @@
         const BUSY_PAUSE: Duration = Duration::from_millis(40);
         let now = Instant::now();
         match kind {
-            BackendErrorKind::ReadOnly => self.instance_denied_primary(instance),
+            BackendErrorKind::ReadOnly => self.record_primary_denial(instance),
             BackendErrorKind::Busy | BackendErrorKind::TooManyConnections => self
                 .cluster
                 .update_health(&instance.id, |health| health.record_busy(now, BUSY_PAUSE)),
@@ -51,7 +51,7 @@
                 .cluster
                 .update_health(&instance.id, |health| health.record_lag(now)),
             BackendErrorKind::WrongInstance => {
-                self.instance_failed(instance, "address_used_by_another");
+                self.record_instance_failure(instance, "address_used_by_another");
             }
             BackendErrorKind::UnknownPrepared
             | BackendErrorKind::Aborted
@@ -62,7 +62,7 @@
     /// Records that a statement got no answer in time.
     pub(crate) fn statement_timed_out(&self, instance: &Instance, sent_at: Instant) {
         if !self.answered_since(instance, sent_at) {
-            self.instance_failed(instance, "silent");
+            self.record_instance_failure(instance, "silent");
         }
     }
 
@@ -74,7 +74,7 @@
             .primary(&instance.service)
             .is_some_and(|primary| primary.id == instance.id);
         if is_primary && !self.answered_since(instance, sent_at) {
-            self.attention.suspect(&instance.service);
+            self.suspected_primaries.add(&instance.service);
         }
     }
 
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -26,7 +26,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::sleep;
 
-use crate::admission::{self, Asker, BudgetAnswer, BudgetRequest};
+use crate::admission::{self, BudgetAnswer, BudgetRequest, Requester};
 use crate::confirmation;
 use crate::evidence::survey;
 use crate::gateway::Gateway;
@@ -158,7 +158,7 @@
                 unused,
                 inherited,
             };
-            let answer = admission::answer(gateway, request, Asker::Peer(from));
+            let answer = admission::answer_request(gateway, request, Requester::Peer(from));
             gateway.metrics.budget_answers.add();
             let message = budget_message(number, answer);
             // A lost answer is asked for again.
@@ -175,12 +175,12 @@
             };
             gateway
                 .quotas
-                .answered(number, BudgetAnswer::Granted(grant));
+                .complete_request(number, BudgetAnswer::Granted(grant));
         }
         BudgetMessage::Redirect { number, address } => match address.parse() {
             Ok(address) => {
                 let answer = BudgetAnswer::Elsewhere(address);
-                gateway.quotas.answered(number, answer);
+                gateway.quotas.complete_request(number, answer);
             }
             Err(error) => Event::warn("peer_message_refused")
                 .field("from", from)
@@ -188,7 +188,7 @@
                 .log(),
         },
         BudgetMessage::Displaced { tenant } => {
-            admission::displaced(gateway, tenant.into(), from);
+            admission::record_displacement(gateway, tenant.into(), from);
         }
     }
 }
@@ -303,7 +303,7 @@
         None => attempt_to_reach(gateway, instance).await,
     };
     if found == Reachability::Unreached {
-        gateway.attention.suspect(&instance.service);
+        gateway.suspected_primaries.add(&instance.service);
     }
     found
 }
--- a/crates/linkhold-gateway/src/request/attempt/mod.rs
+++ b/crates/linkhold-gateway/src/request/attempt/mod.rs
@@ -1,11 +1,12 @@
-//! One try of a statement on one instance.
+//! One attempt to run a statement on one instance.
 //!
-//! Here it is chosen on whose connection it goes; [`exchange`] sends it on one of this
-//! node's own, and [`ending`] says what came of it.
+//! This module chooses between a connection of this node and one of an owner.
+//! [`own_connection`] sends the statement on a connection of this node; [`outcome`]
+//! classifies the replies.
 
-mod ending;
-mod exchange;
 mod held;
+mod outcome;
+mod own_connection;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,30 +19,30 @@
 use crate::gate::Urgency;
 use crate::gateway::Gateway;
 use crate::ports::{BackendErrorKind, BackendReply, Platform};
-use crate::request::batch::{Frame, Work};
-use crate::request::primary_answer::{acknowledged, speaks_for_primary};
+use crate::request::batch::{TransactionFrame, Work};
+use crate::request::primary_answer::{requires_primary, withhold_if_replaced};
 use crate::request::principal::Principal;
 
-pub(crate) use ending::of_checkout;
-pub(crate) use exchange::run_on_own;
-pub(crate) use held::{ConnectionOf, Held, finish_own};
+pub(crate) use held::{ConnectionOf, HeldConnection, finish_lease};
+pub(crate) use outcome::checkout_failure_cause;
+pub(crate) use own_connection::run_on_lease;
 
-/// Bounds of one try.
+/// Limits of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bounds {
-    /// Rank among those who wait for a connection.
+pub(crate) struct AttemptLimits {
+    /// Rank in the queue for a connection.
     pub urgency: Urgency,
-    /// Until when it may wait for one.
+    /// Until when the attempt may wait for a connection.
     pub connection_by: Instant,
-    /// Until when the answer must have come.
+    /// Until when the answer must have arrived.
     pub answer_by: Instant,
 }
 
-/// How a try ended.
-pub(crate) enum Attempt<P: Platform> {
+/// How an attempt ended.
+pub(crate) enum AttemptOutcome<P: Platform> {
     /// The instance answered the statement.
     Answered(Answer<P>),
-    /// Nothing of the statement ran; the connection may have been given back.
+    /// The statement did not run; the connection may have been given back.
     NotRun(NotRunCause),
     /// The connection broke after the statement was sent.
     Lost,
@@ -52,13 +53,13 @@
 /// When a transaction's start was sent, and the reply to it.
 pub(crate) type BeginReply = (Instant, BackendReply);
 
-/// An instance's answer, with the connection it came on.
+/// An instance's answer and the connection on which it arrived.
 pub(crate) struct Answer<P: Platform> {
     pub reply: BackendReply,
-    /// The start of the transaction, if there was one.
+    /// The reply to the start of the transaction, if the attempt started one.
     pub begin: Option<BeginReply>,
-    pub held: Held<P>,
-    /// When the batch was sent, measured before.
+    pub held: HeldConnection<P>,
+    /// A time just before the batch was sent.
     pub sent_at: Instant,
 }
 
@@ -71,22 +72,22 @@
     Unreachable,
     /// The instance refused it.
     Refused(BackendErrorKind),
-    /// It may not be sent to the instance.
+    /// The statement may not be sent to the instance.
     Ineligible(Ineligible),
-    /// The instance may be cold; there is room after this time.
+    /// The instance may be cold and accepts more statements after this time.
     WarmingUp(Duration),
 }
 
-/// Runs `work` on `instance`: on a connection of this node's own or, where few
-/// nodes own the connections, on one of theirs.
+/// Runs `work` on `instance`: on a connection of this node or, if only a few nodes own
+/// the connections to the instance, on a connection of an owner.
 pub(crate) async fn run<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     instance: &Arc<Instance>,
     principal: Principal<'_>,
     work: &Work,
-    frame: Frame,
-    bounds: Bounds,
-) -> Attempt<P> {
+    frame: TransactionFrame,
+    limits: AttemptLimits,
+) -> AttemptOutcome<P> {
     let now = Instant::now();
     gateway
         .cluster
@@ -97,101 +98,105 @@
         } else {
             owners.permitted(&principal)
         };
-        let attempt = forward::run(gateway, &asked, instance, principal, work, frame, bounds).await;
+        let attempt = forward::run(gateway, &asked, instance, principal, work, frame, limits).await;
         if let Some(attempt) = attempt {
-            if is_proved_by_owner(gateway, instance, work, frame, &attempt) {
+            if is_verified_by_owner(gateway, instance, work, frame, &attempt) {
                 gateway.cluster.mark_verified(&instance.id);
             }
-            return acknowledged(gateway, instance, work, frame, attempt);
+            return withhold_if_replaced(gateway, instance, work, frame, attempt);
         }
     }
-    let attempt = run_here(gateway, instance, principal, work, frame, bounds).await;
-    acknowledged(gateway, instance, work, frame, attempt)
+    let attempt = run_locally(gateway, instance, principal, work, frame, limits).await;
+    withhold_if_replaced(gateway, instance, work, frame, attempt)
 }
 
-/// Whether an owner ran `work` on an instance as a primary: it has proved that it leads.
-fn is_proved_by_owner<P: Platform>(
+/// Whether an owner ran `work` on an instance as a primary, which verifies the primary.
+fn is_verified_by_owner<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
-    frame: Frame,
-    attempt: &Attempt<P>,
+    frame: TransactionFrame,
+    attempt: &AttemptOutcome<P>,
 ) -> bool {
-    let is_answered = matches!(attempt, Attempt::Answered(_));
-    is_answered && speaks_for_primary(gateway, instance, work, frame)
+    let is_answered = matches!(attempt, AttemptOutcome::Answered(_));
+    is_answered && requires_primary(gateway, instance, work, frame)
 }
 
-/// Runs `work` on a connection of this node's own.
-pub(crate) async fn run_here<P: Platform>(
+/// Runs `work` on a connection of this node.
+pub(crate) async fn run_locally<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     instance: &Arc<Instance>,
     principal: Principal<'_>,
     work: &Work,
-    frame: Frame,
-    bounds: Bounds,
-) -> Attempt<P> {
+    frame: TransactionFrame,
+    limits: AttemptLimits,
+) -> AttemptOutcome<P> {
     if gateway
         .relays
         .has_no_permitted_peer(&instance.id, principal.regions)
     {
-        return Attempt::NotRun(NotRunCause::Unreachable);
+        return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
-    if speaks_for_primary(gateway, instance, work, frame)
+    if requires_primary(gateway, instance, work, frame)
         && let Err(cause) = primary_verification::verify_primary(gateway, instance).await
     {
-        return Attempt::NotRun(cause);
+        return AttemptOutcome::NotRun(cause);
     }
     let pool = gateway.pools.pool(instance, &gateway.cluster);
-    let entered = pool
+    let permit = pool
         .gate()
-        .enter(bounds.urgency, bounds.connection_by)
+        .acquire(limits.urgency, limits.connection_by)
         .await;
-    let Some(_pass) = entered else {
-        return Attempt::NotRun(NotRunCause::NoConnection);
+    let Some(_permit) = permit else {
+        return AttemptOutcome::NotRun(NotRunCause::NoConnection);
     };
     let checkout = pool
         .checkout(
             gateway,
             principal,
-            bounds.urgency,
-            bounds.connection_by.into(),
+            limits.urgency,
+            limits.connection_by.into(),
         )
         .await;
     let lease = match checkout {
         Ok(lease) => lease,
-        Err(error) => return Attempt::NotRun(ending::of_checkout(gateway, instance, error)),
+        Err(error) => {
+            return AttemptOutcome::NotRun(outcome::checkout_failure_cause(
+                gateway, instance, error,
+            ));
+        }
     };
-    run_on_own(gateway, lease, principal, work, frame, bounds.answer_by).await
+    run_on_lease(gateway, lease, principal, work, frame, limits.answer_by).await
 }
 
-/// Runs `work` in the transaction of a connection that is held.
-pub(crate) async fn run_on<P: Platform>(
+/// Runs `work` in the open transaction of a held connection.
+pub(crate) async fn run_on_held<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    held: Held<P>,
+    held: HeldConnection<P>,
     principal: Principal<'_>,
     work: &Work,
     answer_by: Instant,
-) -> Attempt<P> {
-    let frame = Frame::Inside;
-    let needs_permission = speaks_for_primary(gateway, held.instance(), work, frame);
+) -> AttemptOutcome<P> {
+    let frame = TransactionFrame::InTransaction;
+    let needs_permission = requires_primary(gateway, held.instance(), work, frame);
     if needs_permission && gateway.cluster.is_replaced(held.instance()) {
-        // The connection is closed with it, which undoes what is open on it.
+        // This closes the connection, which undoes the open transaction.
         drop(held);
-        return Attempt::NotRun(NotRunCause::Unreachable);
+        return AttemptOutcome::NotRun(NotRunCause::Unreachable);
     }
     let instance = held.instance().clone();
     let attempt = match held {
-        Held::Own(lease) => {
+        HeldConnection::Own(lease) => {
             let opened_at = lease.opened_at();
             gateway
                 .wait_for_warm_up_allowance(lease.instance(), opened_at, answer_by)
                 .await;
-            let _pass = lease.gate().enter_at_once();
-            run_on_own(gateway, lease, principal, work, frame, answer_by).await
+            let _permit = lease.gate().acquire_immediately();
+            run_on_lease(gateway, lease, principal, work, frame, answer_by).await
         }
-        Held::Lent(lent) => {
+        HeldConnection::Lent(lent) => {
             forward::run_in_transaction(gateway, lent, principal, work, answer_by).await
         }
     };
-    acknowledged(gateway, &instance, work, frame, attempt)
+    withhold_if_replaced(gateway, &instance, work, frame, attempt)
 }
--- a/crates/linkhold-gateway/src/request/attempt/ending.rs
+++ b/crates/linkhold-gateway/src/request/attempt/outcome.rs
@@ -1,18 +1,18 @@
-//! What an instance's replies come to, and whether they prove that nothing ran.
+//! The outcome of an attempt, and whether it proves that the statement did not run.
 
 use std::time::Instant;
 
 use linkhold_core::service::instance::Instance;
 use linkhold_core::service::session::TransactionStatus;
 
-use super::{Answer, Attempt, BeginReply, ConnectionOf, Held, NotRunCause};
+use super::{Answer, AttemptOutcome, BeginReply, ConnectionOf, HeldConnection, NotRunCause};
 use crate::gateway::Gateway;
 use crate::pool::{CheckoutError, Lease};
 use crate::ports::{BackendErrorKind, BackendReply, ConnectError, ExchangeError, Platform};
 
-/// Why no connection was had. An instance that has none left lives: nobody is to
-/// look whether it is lost, which would take yet more of its connections.
-pub(crate) fn of_checkout<P: Platform>(
+/// Why a checkout failed. An instance that has no connection left is alive: it is not
+/// reported as unreachable, since probing it would take more of its connections.
+pub(crate) fn checkout_failure_cause<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     error: CheckoutError,
@@ -30,65 +30,66 @@
     }
 }
 
-/// What an instance's replies come to. The one at `main` is the statement's own.
-pub(super) fn answered<P: Platform>(
+/// The outcome of complete replies. The reply at `statement_index` is the statement's.
+pub(super) fn answered_outcome<P: Platform>(
     gateway: &Gateway<P>,
     lease: Lease<ConnectionOf<P>>,
     replies: &[BackendReply],
-    main: usize,
+    statement_index: usize,
     begin: Option<BeginReply>,
     sent_at: Instant,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let status = replies[replies.len() - 1].status;
-    let reply = replies[main].clone();
+    let reply = replies[statement_index].clone();
     if let Some(kind) = refusal(begin.as_ref(), &reply) {
-        return refused(gateway, lease, kind, status);
+        return refused_outcome(gateway, lease, kind, status);
     }
-    Attempt::Answered(Answer {
+    AttemptOutcome::Answered(Answer {
         reply,
         begin,
-        held: Held::Own(lease),
+        held: HeldConnection::Own(lease),
         sent_at,
     })
 }
 
-/// What a connection that broke comes to, after the replies that came before.
-pub(super) fn broken<P: Platform>(
+/// The outcome of a connection that broke, given the replies that arrived before.
+pub(super) fn broken_outcome<P: Platform>(
     lease: Lease<ConnectionOf<P>>,
     error: &ExchangeError,
-    main: usize,
-) -> Attempt<P> {
+    statement_index: usize,
+) -> AttemptOutcome<P> {
     drop(lease);
-    // A refusal that came before the break still proves that nothing ran.
+    // A refusal that arrived before the break still proves that nothing ran.
     let refusal = error
         .replies
-        .get(main)
+        .get(statement_index)
         .and_then(BackendReply::error)
         .filter(|kind| proves_not_run(*kind));
     match refusal {
-        Some(kind) => Attempt::NotRun(NotRunCause::Refused(kind)),
-        None => Attempt::Lost,
+        Some(kind) => AttemptOutcome::NotRun(NotRunCause::Refused(kind)),
+        None => AttemptOutcome::Lost,
     }
 }
 
-/// The refusal in an answer that proves that the statement did not run.
+/// The refusal that proves that the statement did not run; `None` if there is none.
 fn refusal(begin: Option<&BeginReply>, reply: &BackendReply) -> Option<BackendErrorKind> {
     let begin_refused = begin.and_then(|(_, reply)| reply.error());
     begin_refused.or_else(|| reply.error().filter(|kind| proves_not_run(*kind)))
 }
 
-/// Gives back the connection of a statement that was refused. `status` is the
-/// connection's state after the last reply.
-fn refused<P: Platform>(
+/// The outcome of a refusal. Gives the connection back; `status` is its state after the
+/// last reply.
+fn refused_outcome<P: Platform>(
     gateway: &Gateway<P>,
     mut lease: Lease<ConnectionOf<P>>,
     kind: BackendErrorKind,
     status: TransactionStatus,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let instance = lease.instance().clone();
     lease.pooled().needs_rollback = status != TransactionStatus::Idle;
     if kind == BackendErrorKind::UnknownPrepared {
-        // What was recorded as prepared is not there: do not use it again.
+        // The recorded prepared statements do not exist on the instance: the
+        // connection must not be used again.
         drop(lease);
     } else {
         lease.release();
@@ -98,13 +99,13 @@
             .pools
             .pool(&instance, &gateway.cluster)
             .gate()
-            .refused();
+            .record_refusal();
     }
     gateway.note_refusal(&instance, kind);
-    Attempt::NotRun(NotRunCause::Refused(kind))
+    AttemptOutcome::NotRun(NotRunCause::Refused(kind))
 }
 
-/// Whether an error is a promise that the statement did not run.
+/// Whether an error guarantees that the statement did not run.
 fn proves_not_run(kind: BackendErrorKind) -> bool {
     match kind {
         BackendErrorKind::Busy
--- a/crates/linkhold-gateway/src/request/batch.rs
+++ b/crates/linkhold-gateway/src/request/batch.rs
@@ -2,10 +2,10 @@
 //!
 //! # Invariant
 //!
-//! The statement is sent only after everything it depends on was acknowledged:
+//! A statement is sent only after everything it depends on was acknowledged:
 //! the session's values, prepared statements and the start of its transaction.
-//! Sent together with them it would still run when one of them was refused,
-//! outside its transaction or with another session's values.
+//! If they were sent together, the statement would still run when one of them was
+//! refused: outside its transaction or with another session's values.
 
 use bytes::Bytes;
 use linkhold_core::position::Position;
@@ -14,30 +14,31 @@
 use crate::pool::PooledConnection;
 use crate::ports::Command;
 
-/// Prepared statements kept on a connection; beyond it, all are dropped.
-const MOST_PREPARED: usize = 200;
+/// Maximum number of prepared statements on a connection; a connection with more is
+/// closed when it is given back.
+const MAX_PREPARED: usize = 200;
 
-/// A caller's statement that runs on data.
+/// A caller's statement that an instance must run.
 #[derive(Clone, Debug)]
 pub(crate) enum Work {
-    /// Its text.
+    /// A statement as text.
     Text {
         id: Bytes,
         text: Bytes,
         access: Access,
     },
-    /// A prepared statement of the session.
+    /// An execution of a prepared statement of the session.
     Prepared {
         id: Bytes,
         prepared: Prepared,
         arguments: Bytes,
     },
-    /// The end of a transaction.
+    /// The commit of a transaction.
     Commit { id: Bytes, text: Bytes },
 }
 
 impl Work {
-    /// Whether it may change data.
+    /// Whether the statement may change data.
     pub fn access(&self) -> Access {
         match self {
             Self::Text { access, .. } => *access,
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Whether its success may acknowledge a change of data.
+    /// Whether a successful answer may acknowledge a change of data.
     pub fn may_commit(&self) -> bool {
         matches!(self, Self::Commit { .. }) || self.access() == Access::Write
     }
 
-    /// The caller's identifier.
+    /// The caller's identifier of the request.
     pub fn id(&self) -> &Bytes {
         match self {
             Self::Text { id, .. } | Self::Prepared { id, .. } | Self::Commit { id, .. } => id,
@@ -59,83 +60,87 @@
     }
 }
 
-/// What stands around a statement.
+/// The transaction that surrounds a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Frame {
+pub(crate) enum TransactionFrame {
     /// The transaction that is open on the connection.
-    Inside,
-    /// Nothing: it runs alone.
-    Bare {
-        /// Position the instance must have.
+    InTransaction,
+    /// None: the statement is a transaction of its own.
+    Autocommit {
+        /// Position that the instance's log must have reached.
         fence: Option<Position>,
     },
-    /// It opens a transaction.
-    Opening {
-        /// A replica may run it.
+    /// A transaction that starts with the statement.
+    Begin {
+        /// Whether a replica may run the transaction.
         read_only: bool,
-        /// Position the instance must have.
+        /// Position that the instance's log must have reached.
         fence: Option<Position>,
     },
-    /// A writing transaction around it that is rolled back: proves that the
-    /// instance was primary while the statement ran. All of it goes out in one
-    /// write, since the answer is dropped when the proof fails.
+    /// A read-write transaction that is rolled back after the statement. It proves
+    /// that the instance was primary while the statement ran. Begin, statement and
+    /// rollback are sent in one write, since the answer is dropped if the proof fails.
     ProvingPrimary,
 }
 
 /// The commands of one statement.
 #[derive(Debug)]
 pub(crate) struct Batch {
-    /// Must be acknowledged before the rest is sent.
+    /// Commands that must be acknowledged before the rest is sent.
     pub setup: Vec<Command>,
-    /// The last command of the setup starts the statement's transaction.
-    pub opens: bool,
-    /// The statement and what goes with it in one write.
+    /// Whether the last command of the setup starts the statement's transaction.
+    pub begins_transaction: bool,
+    /// The statement and the commands that are sent with it in one write.
     pub commands: Vec<Command>,
-    /// Place of the statement's reply among those to `commands`.
-    pub main: usize,
+    /// Index of the statement's reply among the replies to `commands`.
+    pub statement_index: usize,
 }
 
-/// Builds the batch and records what the connection will have been told.
+/// Builds the batch. Records the state that the connection will have after it.
 pub(crate) fn build<C>(
     pooled: &mut PooledConnection<C>,
     values: &SessionValues,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
 ) -> Batch {
     let mut setup = Vec::new();
     if std::mem::take(&mut pooled.needs_rollback) {
         setup.push(Command::Rollback);
     }
-    adopt_values(pooled, values, &mut setup);
-    let number = adopt_prepared(pooled, work, &mut setup);
+    add_value_changes(pooled, values, &mut setup);
+    let number = add_prepare(pooled, work, &mut setup);
     let mut batch = Batch {
         setup,
-        opens: false,
+        begins_transaction: false,
         commands: Vec::with_capacity(1),
-        main: 0,
+        statement_index: 0,
     };
     match frame {
-        Frame::Inside => batch.commands.push(statement(work, number, None)),
-        Frame::Bare { fence } => batch.commands.push(statement(work, number, fence)),
-        Frame::Opening { read_only, fence } => {
+        TransactionFrame::InTransaction => {
+            batch.commands.push(statement_command(work, number, None))
+        }
+        TransactionFrame::Autocommit { fence } => {
+            batch.commands.push(statement_command(work, number, fence))
+        }
+        TransactionFrame::Begin { read_only, fence } => {
             batch.setup.push(Command::Begin { read_only, fence });
-            batch.opens = true;
-            batch.commands.push(statement(work, number, None));
+            batch.begins_transaction = true;
+            batch.commands.push(statement_command(work, number, None));
         }
-        Frame::ProvingPrimary => {
+        TransactionFrame::ProvingPrimary => {
             batch.commands.push(Command::Begin {
                 read_only: false,
                 fence: None,
             });
-            batch.commands.push(statement(work, number, None));
+            batch.commands.push(statement_command(work, number, None));
             batch.commands.push(Command::Rollback);
-            batch.main = 1;
+            batch.statement_index = 1;
         }
     }
     batch
 }
 
-fn adopt_values<C>(
+fn add_value_changes<C>(
     pooled: &mut PooledConnection<C>,
     values: &SessionValues,
     commands: &mut Vec<Command>,
@@ -149,7 +154,7 @@
     }
 }
 
-fn adopt_prepared<C>(
+fn add_prepare<C>(
     pooled: &mut PooledConnection<C>,
     work: &Work,
     commands: &mut Vec<Command>,
@@ -167,7 +172,7 @@
     Some(number)
 }
 
-fn statement(work: &Work, number: Option<usize>, fence: Option<Position>) -> Command {
+fn statement_command(work: &Work, number: Option<usize>, fence: Option<Position>) -> Command {
     match work {
         Work::Text { id, text, .. } | Work::Commit { id, text } => Command::Run {
             id: id.clone(),
@@ -183,7 +188,7 @@
     }
 }
 
-/// Whether a connection has so much prepared that it is better closed.
-pub(crate) fn is_worn<C>(pooled: &PooledConnection<C>) -> bool {
-    pooled.state.prepared.len() > MOST_PREPARED
+/// Whether a connection has so many prepared statements that it is to be closed.
+pub(crate) fn has_too_many_prepared<C>(pooled: &PooledConnection<C>) -> bool {
+    pooled.state.prepared.len() > MAX_PREPARED
 }
--- a/crates/linkhold-gateway/src/request/conversation.rs
+++ b/crates/linkhold-gateway/src/request/exchange.rs
@@ -1,5 +1,5 @@
-//! One exchange of commands and replies on a connection, and what it tells of the
-//! instance.
+//! One exchange of commands and replies on a connection. Records what the exchange shows
+//! about the instance.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,52 +12,54 @@
 use crate::ports::{BackendConnection, BackendReply, Command, ExchangeError, Platform};
 use crate::request::attempt::ConnectionOf;
 
-/// Silence after which an instance is looked at, at the least.
-const LEAST_SILENCE: Duration = Duration::from_millis(220);
-/// Silence after which an instance is looked at, in its usual latencies.
-const SILENCE_LATENCIES: u32 = 6;
+/// Minimum time without an answer before the instance is probed.
+const MIN_PROBE_SILENCE: Duration = Duration::from_millis(220);
+/// Time without an answer before the instance is probed, as a multiple of its usual
+/// latency.
+const PROBE_SILENCE_LATENCIES: u32 = 6;
 
 /// How an exchange of commands and replies ended.
-pub(crate) enum Conversation {
+pub(crate) enum ExchangeOutcome {
     /// A reply to each command.
     Answered(Vec<BackendReply>),
     /// The connection broke.
     Broken(ExchangeError),
-    /// No whole answer came in time.
+    /// No complete answer came in time.
     Silent,
 }
 
-/// Exchanges commands and replies and notes what that tells of the instance.
-pub(crate) async fn converse<P: Platform>(
+/// Sends commands, waits for their replies until `answer_by`, and records the result in
+/// the health of the instance.
+pub(crate) async fn exchange_commands<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     lease: &mut Lease<ConnectionOf<P>>,
     commands: &[Command],
     answer_by: Instant,
-) -> Conversation {
+) -> ExchangeOutcome {
     let instance = lease.instance().clone();
     let sent_at = Instant::now();
     let in_flight = InFlight::start(gateway, &instance);
-    let exchanged = exchange(gateway, lease, commands, sent_at, answer_by).await;
+    let exchanged = send_and_wait(gateway, lease, commands, sent_at, answer_by).await;
     drop(in_flight);
     match exchanged {
         None => {
             lease.suspect_used_before(sent_at.into());
             gateway.statement_timed_out(&instance, sent_at);
-            Conversation::Silent
+            ExchangeOutcome::Silent
         }
         Some(Err(error)) => {
             gateway.connection_lost(&instance);
-            Conversation::Broken(error)
+            ExchangeOutcome::Broken(error)
         }
         Some(Ok(replies)) => {
             let position = replies.last().and_then(|reply| reply.position);
-            gateway.instance_answered(&instance.id, sent_at.elapsed(), position);
-            Conversation::Answered(replies)
+            gateway.record_instance_answer(&instance.id, sent_at.elapsed(), position);
+            ExchangeOutcome::Answered(replies)
         }
     }
 }
 
-/// Counts a statement as under way until it is dropped.
+/// Counts a statement as in flight at an instance until it is dropped.
 pub(crate) struct InFlight<'a, P: Platform> {
     gateway: &'a Gateway<P>,
     instance: Arc<Instance>,
@@ -83,8 +85,9 @@
     }
 }
 
-/// Sends commands and waits; has the instance looked at when it is silent.
-async fn exchange<P: Platform>(
+/// Sends commands and waits for their replies; `None` if they are not complete by
+/// `answer_by`. Has the instance probed if it stays silent for too long.
+async fn send_and_wait<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     lease: &mut Lease<ConnectionOf<P>>,
     commands: &[Command],
@@ -92,23 +95,24 @@
     answer_by: Instant,
 ) -> Option<Result<Vec<BackendReply>, ExchangeError>> {
     let instance = lease.instance().clone();
-    let look_at = sent_at + silence_limit(gateway, &instance);
+    let probe_at = sent_at + silence_limit(gateway, &instance);
     let exchange = lease.pooled().connection.exchange(commands);
     tokio::pin!(exchange);
-    if look_at < answer_by {
+    if probe_at < answer_by {
         tokio::select! {
             replies = &mut exchange => return Some(replies),
-            () = sleep_until(look_at.into()) => gateway.suspect_if_primary_is_silent(&instance, sent_at),
+            () = sleep_until(probe_at.into()) => gateway.suspect_if_primary_is_silent(&instance, sent_at),
         }
     }
     timeout_at(answer_by.into(), exchange).await.ok()
 }
 
+/// How long an instance may be silent before it is probed.
 fn silence_limit<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> Duration {
     let usual = gateway
         .cluster
         .read_health(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
-    LEAST_SILENCE.max(usual * SILENCE_LATENCIES)
+    MIN_PROBE_SILENCE.max(usual * PROBE_SILENCE_LATENCIES)
 }
--- a/crates/linkhold-gateway/src/request/primary_answer.rs
+++ b/crates/linkhold-gateway/src/request/primary_answer.rs
@@ -1,4 +1,4 @@
-//! Whether what an instance answered may be told as the word of its service's primary.
+//! Checks that an answer is that of a service's current primary before it is relayed.
 
 use std::time::Instant;
 
@@ -7,13 +7,14 @@
 
 use crate::gateway::Gateway;
 use crate::ports::{BackendReply, Platform};
-use crate::request::attempt::Attempt;
-use crate::request::batch::{Frame, Work};
+use crate::request::attempt::AttemptOutcome;
+use crate::request::batch::{TransactionFrame, Work};
 
-/// Whether what an instance answered as a primary may be told: its log ends in no older
-/// term than is known and not before `proved`, up to which it was proved to reach when it
-/// was asked, and a commit is acknowledged only while this node may speak for the instance.
-pub(crate) fn may_tell<P: Platform>(
+/// Whether an instance's answer may be relayed as that of the primary. Its log must end
+/// in the newest known term or a later one, and not before `proved`, the position that
+/// its log was known to reach when the statement was sent. A commit is acknowledged only
+/// while this node may acknowledge for the instance.
+pub(crate) fn may_relay_answer<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
@@ -26,40 +27,43 @@
             .cluster
             .may_acknowledge_for(instance, Instant::now());
     is_permitted
-        && !gateway.is_outdated(instance, position)
-        && !gateway.has_lost_its_log(instance, position, proved)
+        && !gateway.detect_outdated_primary(instance, position)
+        && !gateway.detect_lost_log(instance, position, proved)
 }
 
-/// Whether a statement's answer is told as that of a primary: it writes or ends a
-/// transaction that may have written, or must see all that was acknowledged.
-pub(crate) fn speaks_for_primary<P: Platform>(
+/// Whether only a primary may answer a statement: it writes, ends a transaction that may
+/// have written, or must see everything that was acknowledged.
+pub(crate) fn requires_primary<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
-    frame: Frame,
+    frame: TransactionFrame,
 ) -> bool {
     match frame {
-        Frame::ProvingPrimary | Frame::Bare { fence: None } => true,
-        Frame::Opening { read_only, .. } => !read_only,
-        Frame::Bare { fence: Some(_) } => false,
-        // On a replica nothing but reads can be open.
-        Frame::Inside => work.may_commit() && !gateway.cluster.is_replica(instance),
+        TransactionFrame::ProvingPrimary | TransactionFrame::Autocommit { fence: None } => true,
+        TransactionFrame::Begin { read_only, .. } => !read_only,
+        TransactionFrame::Autocommit { fence: Some(_) } => false,
+        // Only read-only transactions are open on a replica.
+        TransactionFrame::InTransaction => {
+            work.may_commit() && !gateway.cluster.is_replica(instance)
+        }
     }
 }
 
-/// A commit is not acknowledged if its instance has been replaced meanwhile, as far as
-/// this node has heard; whoever ran it for this node may not have.
-pub(crate) fn acknowledged<P: Platform>(
+/// Turns the answer to a commit into [`AttemptOutcome::Lost`] if this node knows that the
+/// instance was replaced meanwhile. An owner that ran the commit for this node may not
+/// know it yet.
+pub(crate) fn withhold_if_replaced<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
     work: &Work,
-    frame: Frame,
-    attempt: Attempt<P>,
-) -> Attempt<P> {
-    let is_answered = matches!(attempt, Attempt::Answered(_));
-    let commits = work.may_commit() && speaks_for_primary(gateway, instance, work, frame);
+    frame: TransactionFrame,
+    attempt: AttemptOutcome<P>,
+) -> AttemptOutcome<P> {
+    let is_answered = matches!(attempt, AttemptOutcome::Answered(_));
+    let commits = work.may_commit() && requires_primary(gateway, instance, work, frame);
     if is_answered && commits && gateway.cluster.is_replaced(instance) {
-        return Attempt::Lost;
+        return AttemptOutcome::Lost;
     }
     attempt
 }
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -1,13 +1,14 @@
-//! Statements outside transactions: which instance runs them, what is tried
-//! again, and what is told when that fails.
+//! Statements outside of transactions and the first statements of transactions:
+//! which instance runs them, which are retried, and which failure is reported.
 //!
 //! # Invariants
 //!
 //! * A statement that may change data is sent again only after a proof that it
 //!   did not run.
-//! * A read runs only where everything it must see is proved to be.
-//! * A refusal goes out as soon as it is certain, at the latest when the part
-//!   of the latency objective that may be spent on waiting is used up.
+//! * A read runs only on an instance that is proved to have everything the read must
+//!   see.
+//! * A refusal is sent as soon as it is certain, at the latest when the part of the
+//!   latency objective that may be spent on waiting is used up.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -28,43 +29,44 @@
 use crate::gate::Urgency;
 use crate::gateway::Gateway;
 use crate::ports::{BackendErrorKind, BackendReply, Platform};
-use crate::request::attempt::{self, Answer, Attempt, Bounds, NotRunCause};
-use crate::request::batch::{Frame, Work};
-use crate::request::marks::SessionMarks;
+use crate::request::attempt::{self, Answer, AttemptLimits, AttemptOutcome, NotRunCause};
+use crate::request::batch::{TransactionFrame, Work};
 use crate::request::principal::Principal;
+use crate::request::session_positions::SessionPositions;
 
-/// Pause before an instance that was full is tried again; it doubles up to
-/// [`LONGEST_BUSY_PAUSE`].
-const BUSY_PAUSE: Duration = Duration::from_millis(10);
-/// Longest pause between tries on the same instance.
-const LONGEST_BUSY_PAUSE: Duration = Duration::from_millis(80);
-/// Pause before a round over all instances is begun again.
+/// First pause before another attempt on a primary that refused a statement or could not
+/// be reached. It doubles up to [`MAX_BUSY_PAUSE`].
+const INITIAL_BUSY_PAUSE: Duration = Duration::from_millis(10);
+/// Longest pause between attempts on the same instance.
+const MAX_BUSY_PAUSE: Duration = Duration::from_millis(80);
+/// Pause before all instances are tried again.
 const ROUND_PAUSE: Duration = Duration::from_millis(20);
-/// Longest wait for a connection while other instances are left to try.
-const IMPATIENT_WAIT: Duration = Duration::from_millis(30);
-/// Time one instance gets for a read while others are left to try, at the least.
-const LEAST_READ_ATTEMPT: Duration = Duration::from_millis(350);
-/// As [`LEAST_READ_ATTEMPT`], in the instance's usual latencies.
+/// Longest wait for a connection to an instance while other instances are left to try.
+const CONNECTION_WAIT_WITH_ALTERNATIVES: Duration = Duration::from_millis(30);
+/// Minimum time limit for a read on one instance while others are left to try.
+const MIN_READ_ATTEMPT: Duration = Duration::from_millis(350);
+/// Time limit for a read on one instance while others are left to try, as a multiple of
+/// the instance's usual latency.
 const READ_ATTEMPT_LATENCIES: u32 = 10;
 
-/// A statement, its session and its limits.
-pub(crate) struct Unit<'a> {
+/// The session, permissions and time limits of a statement.
+pub(crate) struct StatementContext<'a> {
     pub route: &'a Arc<Route>,
-    /// Whose connection it needs.
+    /// Holder of the connections that the statement may use.
     pub holder: &'a ConnectionHolder,
-    /// Regions in which it may be run.
+    /// Regions in which the statement may run.
     pub regions: &'a AllowedRegions,
     pub session: &'a SessionState,
     pub received_at: Instant,
 }
 
-impl Unit<'_> {
-    /// Until when it may wait for room or for a primary.
-    pub fn wait_until(&self) -> Instant {
+impl StatementContext<'_> {
+    /// Until when the statement may wait for a connection or for a primary.
+    pub fn wait_deadline(&self) -> Instant {
         self.received_at + waiting::max_wait(self.route.latency_objective)
     }
 
-    /// For whom it runs.
+    /// On whose behalf the statement runs.
     pub fn principal(&self) -> Principal<'_> {
         Principal {
             holder: self.holder,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Until when it must be answered.
+    /// Until when the statement must be answered.
     pub fn answer_by(&self) -> Instant {
         self.received_at + self.route.statement_timeout
     }
@@ -86,190 +88,198 @@
     }
 }
 
-/// What a statement opens.
+/// The kind of transaction in which a statement runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Opening {
-    /// Nothing: it is a transaction of its own.
-    Alone,
-    /// A transaction that may write.
-    Transaction,
-    /// A transaction that only reads.
-    ReadOnlyTransaction,
+pub(crate) enum TransactionMode {
+    /// The statement is a transaction of its own.
+    Autocommit,
+    /// The statement opens a transaction that may write.
+    ReadWrite,
+    /// The statement opens a transaction that only reads.
+    ReadOnly,
 }
 
-/// Runs a statement that stands alone or opens a transaction.
+/// Runs a statement that is a transaction of its own or opens one.
 pub(crate) async fn run<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
-    marks: &mut SessionMarks,
+    context: &StatementContext<'_>,
+    positions: &mut SessionPositions,
     work: &Work,
-    opening: Opening,
+    mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
-    let needs_primary = unit.route.consistency == Consistency::Latest
-        || opening == Opening::Transaction
+    let needs_primary = context.route.consistency == Consistency::Latest
+        || mode == TransactionMode::ReadWrite
         || work.access() == Access::Write;
     if needs_primary {
-        run_on_primary(gateway, unit, work, opening).await
+        run_on_primary(gateway, context, work, mode).await
     } else {
-        run_on_fresh(gateway, unit, marks, work, opening).await
+        run_on_fresh_instance(gateway, context, positions, work, mode).await
     }
 }
 
 /// Runs a statement on the primary.
 async fn run_on_primary<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     work: &Work,
-    opening: Opening,
+    mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
-    let frame = primary_frame(work, opening);
-    let repeatable = work.access() == Access::Read && opening == Opening::Alone;
+    let frame = primary_frame(work, mode);
+    let repeatable = work.access() == Access::Read && mode == TransactionMode::Autocommit;
     let mut reason = NotRun::NoPrimary;
-    let mut pause = BUSY_PAUSE;
+    let mut pause = INITIAL_BUSY_PAUSE;
     loop {
-        let primary = wait_for_primary(gateway, unit, reason).await?;
-        let bounds = Bounds {
-            urgency: unit.urgency(Access::Write),
-            connection_by: unit.wait_until(),
-            answer_by: unit.answer_by(),
+        let primary = wait_for_primary(gateway, context, reason).await?;
+        let limits = AttemptLimits {
+            urgency: context.urgency(Access::Write),
+            connection_by: context.wait_deadline(),
+            answer_by: context.answer_by(),
         };
-        let attempt = attempt::run(gateway, &primary, unit.principal(), work, frame, bounds).await;
+        let attempt =
+            attempt::run(gateway, &primary, context.principal(), work, frame, limits).await;
         match attempt {
-            Attempt::Answered(answer) => {
-                note_primary_answer(gateway, &primary, &answer, work, opening);
+            AttemptOutcome::Answered(answer) => {
+                record_primary_answer(gateway, &primary, &answer, work, mode);
                 return Ok(answer);
             }
-            Attempt::NotRun(NotRunCause::WarmingUp(after))
-                if Instant::now() + after >= unit.wait_until() =>
+            AttemptOutcome::NotRun(NotRunCause::WarmingUp(after))
+                if Instant::now() + after >= context.wait_deadline() =>
             {
                 let reason = NotRun::WarmingUp { retry_after: after };
                 return Err(Failure::NotRun(reason));
             }
-            Attempt::NotRun(NotRunCause::WarmingUp(after)) => {
+            AttemptOutcome::NotRun(NotRunCause::WarmingUp(after)) => {
                 reason = NotRun::WarmingUp { retry_after: after };
                 sleep(after).await;
             }
-            Attempt::NotRun(cause) => {
+            AttemptOutcome::NotRun(cause) => {
                 reason = refusal_reason(cause);
-                retrying(gateway, work, &primary, cause);
+                record_retry(gateway, work, &primary, cause);
                 if cause != NotRunCause::Refused(BackendErrorKind::ReadOnly) {
                     sleep(pause).await;
-                    pause = (pause * 2).min(LONGEST_BUSY_PAUSE);
+                    pause = (pause * 2).min(MAX_BUSY_PAUSE);
                 }
             }
-            Attempt::Lost if repeatable => reason = NotRun::BackendUnavailable,
-            Attempt::Lost => return Err(lost(opening, Unknown::ConnectionLost)),
-            Attempt::TimedOut => return Err(lost(opening, Unknown::TimedOut)),
+            AttemptOutcome::Lost if repeatable => reason = NotRun::BackendUnavailable,
+            AttemptOutcome::Lost => {
+                return Err(failure_after_lost_answer(mode, Unknown::ConnectionLost));
+            }
+            AttemptOutcome::TimedOut => {
+                return Err(failure_after_lost_answer(mode, Unknown::TimedOut));
+            }
         }
     }
 }
 
-/// What is told when a statement was sent and no answer came. The first
+/// The failure to report when a statement was sent and no answer came. The first
 /// statement of a transaction is undone with its connection.
-fn lost(opening: Opening, unknown: Unknown) -> Failure {
-    match opening {
-        Opening::Alone => Failure::Unknown(unknown),
-        Opening::Transaction | Opening::ReadOnlyTransaction => {
+fn failure_after_lost_answer(mode: TransactionMode, unknown: Unknown) -> Failure {
+    match mode {
+        TransactionMode::Autocommit => Failure::Unknown(unknown),
+        TransactionMode::ReadWrite | TransactionMode::ReadOnly => {
             Failure::NotRun(NotRun::TransactionAborted)
         }
     }
 }
 
-fn primary_frame(work: &Work, opening: Opening) -> Frame {
-    match (opening, work.access()) {
-        (Opening::Alone, Access::Write) => Frame::Bare { fence: None },
-        (Opening::Alone, Access::Read) => Frame::ProvingPrimary,
-        (Opening::Transaction | Opening::ReadOnlyTransaction, _) => Frame::Opening {
+fn primary_frame(work: &Work, mode: TransactionMode) -> TransactionFrame {
+    match (mode, work.access()) {
+        (TransactionMode::Autocommit, Access::Write) => {
+            TransactionFrame::Autocommit { fence: None }
+        }
+        (TransactionMode::Autocommit, Access::Read) => TransactionFrame::ProvingPrimary,
+        (TransactionMode::ReadWrite | TransactionMode::ReadOnly, _) => TransactionFrame::Begin {
             read_only: false,
             fence: None,
         },
     }
 }
 
-/// A primary that may be tried, waited for as long as the statement may wait.
+/// Waits for a primary that may run the statement. Fails with `reason` when the
+/// statement may wait no longer, and at once if no primary may run the statement.
 async fn wait_for_primary<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     reason: NotRun,
 ) -> Result<Arc<Instance>, Failure> {
-    let wait_until = unit.wait_until();
+    let wait_deadline = context.wait_deadline();
     let mut changes = gateway.cluster.subscribe();
     loop {
         changes.mark_unchanged();
         let now = Instant::now();
-        if now >= wait_until {
+        if now >= wait_deadline {
             return Err(Failure::NotRun(reason));
         }
-        let service = &unit.route.service;
-        let barred = match gateway.cluster.usable_primary(service, now) {
-            Some(primary) => match primary_barrier(gateway, unit, &primary) {
+        let service = &context.route.service;
+        let ineligible = match gateway.cluster.usable_primary(service, now) {
+            Some(primary) => match primary_ineligibility(gateway, context, &primary) {
                 None => return Ok(primary),
-                barred => barred,
+                ineligible => ineligible,
             },
             None => {
-                gateway.attention.suspect(service);
-                gateway.cluster.ineligible_reason(service, unit.regions)
+                gateway.suspected_primaries.add(service);
+                gateway.cluster.ineligible_reason(service, context.regions)
             }
         };
-        if let Some(barred) = barred
-            && !is_switch_over_due(gateway, unit)
+        if let Some(ineligible) = ineligible
+            && !is_switchover_due(gateway, context)
         {
-            return Err(Failure::NotRun(primary_refusal(barred)));
+            return Err(Failure::NotRun(primary_refusal(ineligible)));
         }
         // An instance that is passed over after a failure becomes usable again
-        // without a change that would wake this.
-        let next_look = wait_until.min(now + ROUND_PAUSE * 2);
-        let _ = timeout_at(next_look.into(), changes.changed()).await;
+        // without a change that would wake this loop.
+        let next_check = wait_deadline.min(now + ROUND_PAUSE * 2);
+        let _ = timeout_at(next_check.into(), changes.changed()).await;
     }
 }
 
 /// Why a primary may not run a statement.
-fn primary_barrier<P: Platform>(
+fn primary_ineligibility<P: Platform>(
     gateway: &Gateway<P>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     primary: &Instance,
 ) -> Option<Ineligible> {
     let cluster = &gateway.cluster;
     cluster
-        .eligibility(primary, unit.regions, StatementBinding::Bound)
+        .eligibility(primary, context.regions, StatementBinding::Bound)
         .err()
 }
 
-/// Whether the primary is about to move to where a statement may be run.
-fn is_switch_over_due<P: Platform>(gateway: &Gateway<P>, unit: &Unit<'_>) -> bool {
-    let service = &unit.route.service;
+/// Whether the primary is about to move to an instance that may run the statement.
+fn is_switchover_due<P: Platform>(gateway: &Gateway<P>, context: &StatementContext<'_>) -> bool {
+    let service = &context.route.service;
     let cluster = &gateway.cluster;
     let wanted = cluster.primary_regions(service);
-    let is_among = |region: &RegionName| unit.regions.permits(region);
+    let is_among = |region: &RegionName| context.regions.permits(region);
     let serves =
-        !unit.regions.is_restricted() || wanted.is_restricted() && wanted.names().all(is_among);
+        !context.regions.is_restricted() || wanted.is_restricted() && wanted.names().all(is_among);
     serves && cluster.has_place_for_primary(service)
 }
 
-/// What is told where no primary may run a statement.
-fn primary_refusal(barred: Ineligible) -> NotRun {
-    match barred {
+/// The reason to report when no primary may run a statement.
+fn primary_refusal(ineligible: Ineligible) -> NotRun {
+    match ineligible {
         Ineligible::OutsideRegions => NotRun::PrimaryOutsideRegion,
         Ineligible::Evacuated => NotRun::Evacuated,
     }
 }
 
-/// What is told where no instance may run a read.
-fn read_refusal(barred: Ineligible) -> NotRun {
-    match barred {
+/// The reason to report when no instance may run a read.
+fn read_refusal(ineligible: Ineligible) -> NotRun {
+    match ineligible {
         Ineligible::OutsideRegions => NotRun::NoInstanceInRegion,
         Ineligible::Evacuated => NotRun::Evacuated,
     }
 }
 
-fn note_primary_answer<P: Platform>(
+fn record_primary_answer<P: Platform>(
     gateway: &Gateway<P>,
     primary: &Instance,
     answer: &Answer<P>,
     work: &Work,
-    opening: Opening,
+    mode: TransactionMode,
 ) {
-    let single_write = opening == Opening::Alone && work.access() == Access::Write;
+    let single_write = mode == TransactionMode::Autocommit && work.access() == Access::Write;
     let proof = match &answer.begin {
         Some((sent_at, begin)) => Some((*sent_at, begin)),
         None if single_write && is_success(&answer.reply) => Some((answer.sent_at, &answer.reply)),
@@ -278,37 +288,38 @@
     if let Some((sent_at, reply)) = proof
         && let Some(position) = reply.position
     {
-        gateway.primary_proved(primary, Sample { sent_at, position });
+        gateway.record_primary_proof(primary, Sample { sent_at, position });
     }
 }
 
 /// Runs a read on any instance that is proved to be fresh enough.
-async fn run_on_fresh<P: Platform>(
+async fn run_on_fresh_instance<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
-    marks: &mut SessionMarks,
+    context: &StatementContext<'_>,
+    positions: &mut SessionPositions,
     work: &Work,
-    opening: Opening,
+    mode: TransactionMode,
 ) -> Result<Answer<P>, Failure> {
     let mut excluded: Vec<InstanceId> = Vec::new();
     let mut reason = NotRun::NoFreshInstance;
     let mut rounds = 0_u32;
     loop {
         let now = Instant::now();
-        if now >= unit.answer_by() {
+        if now >= context.answer_by() {
             return Err(Failure::NotRun(reason));
         }
-        let service = &unit.route.service;
-        if let Some(barred) = gateway.cluster.ineligible_reason(service, unit.regions) {
-            return Err(Failure::NotRun(read_refusal(barred)));
+        let service = &context.route.service;
+        if let Some(ineligible) = gateway.cluster.ineligible_reason(service, context.regions) {
+            return Err(Failure::NotRun(read_refusal(ineligible)));
         }
-        let fence = read_fence(gateway, unit, marks, rounds).await?;
+        let fence = read_fence(gateway, context, positions, rounds).await?;
         let now = Instant::now();
-        let chosen = gateway
-            .cluster
-            .choose_for_read(service, fence, &excluded, unit.regions, now);
+        let chosen =
+            gateway
+                .cluster
+            .choose_for_read(service, fence, &excluded, context.regions, now);
         let Some((instance, is_last)) = chosen else {
-            if now + ROUND_PAUSE >= unit.wait_until() {
+            if now + ROUND_PAUSE >= context.wait_deadline() {
                 return Err(Failure::NotRun(reason));
             }
             sleep(ROUND_PAUSE).await;
@@ -316,57 +327,60 @@
             rounds += 1;
             continue;
         };
-        let bounds = read_bounds(gateway, unit, &instance, is_last, now);
-        let frame = read_frame(opening, fence);
-        let attempt = attempt::run(gateway, &instance, unit.principal(), work, frame, bounds).await;
+        let limits = read_limits(gateway, context, &instance, is_last, now);
+        let frame = read_frame(mode, fence);
+        let attempt =
+            attempt::run(gateway, &instance, context.principal(), work, frame, limits).await;
         match attempt {
-            Attempt::Answered(answer) => {
+            AttemptOutcome::Answered(answer) => {
                 gateway
                     .cluster
                     .update_health(&instance.id, |health| health.record_fresh_read());
                 return Ok(answer);
             }
-            Attempt::NotRun(cause) => {
+            AttemptOutcome::NotRun(cause) => {
                 reason = refusal_reason(cause);
-                retrying(gateway, work, &instance, cause);
+                record_retry(gateway, work, &instance, cause);
                 if let NotRunCause::WarmingUp(after) = cause {
                     let cluster = &gateway.cluster;
                     cluster.update_health(&instance.id, |health| health.record_busy(now, after));
                 }
             }
-            Attempt::Lost | Attempt::TimedOut if opening != Opening::Alone => {
+            AttemptOutcome::Lost | AttemptOutcome::TimedOut
+                if mode != TransactionMode::Autocommit =>
+            {
                 return Err(Failure::NotRun(NotRun::TransactionAborted));
             }
-            Attempt::Lost => reason = NotRun::BackendUnavailable,
-            Attempt::TimedOut if Instant::now() >= unit.answer_by() => {
+            AttemptOutcome::Lost => reason = NotRun::BackendUnavailable,
+            AttemptOutcome::TimedOut if Instant::now() >= context.answer_by() => {
                 return Err(Failure::Unknown(Unknown::TimedOut));
             }
-            Attempt::TimedOut => reason = NotRun::Overloaded,
+            AttemptOutcome::TimedOut => reason = NotRun::Overloaded,
         }
         excluded.push(instance.id.clone());
     }
 }
 
-/// The position a read requires. Rounds after the first ask for newer
-/// evidence: the position may belong to a log that was rolled back.
+/// The log position that a read requires. Rounds after the first ask for newer
+/// evidence, since the position may belong to a log that was rolled back.
 async fn read_fence<P: Platform>(
     gateway: &Arc<Gateway<P>>,
-    unit: &Unit<'_>,
-    marks: &mut SessionMarks,
+    context: &StatementContext<'_>,
+    positions: &mut SessionPositions,
     rounds: u32,
 ) -> Result<Position, Failure> {
-    let service = &unit.route.service;
-    let staleness = match unit.route.consistency {
+    let service = &context.route.service;
+    let staleness = match context.route.consistency {
         Consistency::Latest => Duration::ZERO,
         Consistency::BoundedStaleness(most) | Consistency::ReadYourWrites(most) => most,
     };
-    let oldest = unit
+    let oldest = context
         .received_at
         .checked_sub(staleness)
-        .unwrap_or(unit.received_at);
-    let reads_own_writes = matches!(unit.route.consistency, Consistency::ReadYourWrites(_));
-    let moment = if reads_own_writes && !marks.has_baseline(service) {
-        marks.opened_at.max(oldest)
+        .unwrap_or(context.received_at);
+    let reads_own_writes = matches!(context.route.consistency, Consistency::ReadYourWrites(_));
+    let moment = if reads_own_writes && !positions.has_baseline(service) {
+        positions.opened_at.max(oldest)
     } else {
         oldest
     };
@@ -374,17 +388,17 @@
         probe::request_evidence(gateway, service, Instant::now());
     }
     refresh_ahead(gateway, service, staleness);
-    let evidence = probe::fence(gateway, service, moment, unit.wait_until())
+    let evidence = probe::fence(gateway, service, moment, context.wait_deadline())
         .await
         .ok_or(Failure::NotRun(NotRun::NoFreshInstance))?;
     if !reads_own_writes {
         return Ok(evidence);
     }
-    marks.reached(service, evidence);
-    Ok(session_fence(evidence, marks.required(service)))
+    positions.record_baseline(service, evidence);
+    Ok(session_fence(evidence, positions.required(service)))
 }
 
-/// Asks for new evidence before the present one is too old to be used.
+/// Asks for new evidence before the current evidence is too old to be used.
 fn refresh_ahead<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     service: &linkhold_core::service::configuration::ServiceName,
@@ -401,42 +415,46 @@
     }
 }
 
-fn read_bounds<P: Platform>(
+fn read_limits<P: Platform>(
     gateway: &Gateway<P>,
-    unit: &Unit<'_>,
+    context: &StatementContext<'_>,
     instance: &Instance,
     is_last: bool,
     now: Instant,
-) -> Bounds {
+) -> AttemptLimits {
     let usual = gateway
         .cluster
         .read_health(&instance.id, |health| health.latency())
         .flatten()
         .unwrap_or_default();
-    let attempt = LEAST_READ_ATTEMPT.max(usual * READ_ATTEMPT_LATENCIES);
+    let attempt = MIN_READ_ATTEMPT.max(usual * READ_ATTEMPT_LATENCIES);
     let (connection_by, answer_by) = if is_last {
-        (unit.wait_until(), unit.answer_by())
+        (context.wait_deadline(), context.answer_by())
     } else {
-        (now + IMPATIENT_WAIT, unit.answer_by().min(now + attempt))
+        (
+            now + CONNECTION_WAIT_WITH_ALTERNATIVES,
+            context.answer_by().min(now + attempt),
+        )
     };
-    Bounds {
-        urgency: unit.urgency(Access::Read),
+    AttemptLimits {
+        urgency: context.urgency(Access::Read),
         connection_by,
         answer_by,
     }
 }
 
-fn read_frame(opening: Opening, fence: Position) -> Frame {
+fn read_frame(mode: TransactionMode, fence: Position) -> TransactionFrame {
     let fence = Some(fence);
-    match opening {
-        Opening::Alone => Frame::Bare { fence },
-        Opening::Transaction | Opening::ReadOnlyTransaction => Frame::Opening {
+    match mode {
+        TransactionMode::Autocommit => TransactionFrame::Autocommit { fence },
+        TransactionMode::ReadWrite | TransactionMode::ReadOnly => TransactionFrame::Begin {
             read_only: true,
             fence,
         },
     }
 }
 
+/// The reason to report when the last attempt ended with `cause`.
 fn refusal_reason(cause: NotRunCause) -> NotRun {
     match cause {
         NotRunCause::NoConnection => NotRun::Overloaded,
@@ -453,7 +471,7 @@
     }
 }
 
-fn retrying<P: Platform>(
+fn record_retry<P: Platform>(
     gateway: &Gateway<P>,
     work: &Work,
     instance: &Instance,
@@ -467,7 +485,7 @@
         .log();
 }
 
-/// Whether a reply ends the statement with success.
+/// Whether a reply reports success.
 pub(crate) fn is_success(reply: &BackendReply) -> bool {
     reply.error().is_none()
 }
--- a/crates/linkhold-gateway/src/request/transaction.rs
+++ b/crates/linkhold-gateway/src/request/transaction.rs
@@ -1,13 +1,12 @@
-//! Transactions: opened lazily with their first statement, bound to one
+//! Transactions. They are opened with their first statement and stay on one
 //! connection until they end.
 //!
 //! # Invariants
 //!
-//! * From the first statement to the end, the connection belongs to this
-//!   transaction alone; it is given back only after its end was answered.
-//! * The end is sent once. Before it is sent, a lost connection means that
-//!   nothing is kept; afterwards the fate is unknown, unless nothing was
-//!   written.
+//! * From the first statement to the end, the connection serves this transaction
+//!   alone; it is given back only after the commit or rollback was answered.
+//! * The commit is sent once. If the connection is lost before, nothing is kept; if
+//!   it is lost afterwards, the outcome is unknown, unless nothing was written.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,7 +23,7 @@
 use crate::gateway::Gateway;
 use crate::pool::Lease;
 use crate::ports::{BackendConnection, BackendErrorKind, BackendReply, Command, Platform};
-use crate::request::attempt::{self, Answer, Attempt, Held, NotRunCause};
+use crate::request::attempt::{self, Answer, AttemptOutcome, HeldConnection, NotRunCause};
 use crate::request::batch::Work;
 use crate::request::principal::Principal;
 
@@ -33,22 +32,22 @@
 
 /// A transaction on a connection.
 pub(crate) struct OpenTransaction<P: Platform> {
-    /// What its caller could do when it was opened.
+    /// The caller's admission when the transaction was opened.
     pub admitted: Admitted,
-    held: Held<P>,
+    held: HeldConnection<P>,
     wrote: bool,
 }
 
 /// A commit that succeeded.
 pub(crate) struct Committed {
     pub reply: BackendReply,
-    /// Position of the commit, if it wrote.
+    /// Position of the commit, if the transaction wrote.
     pub position: Option<Position>,
 }
 
 impl<P: Platform> OpenTransaction<P> {
     /// Takes over the connection on which the first statement was answered.
-    pub fn new(admitted: Admitted, held: Held<P>, access: Access) -> Self {
+    pub fn new(admitted: Admitted, held: HeldConnection<P>, access: Access) -> Self {
         Self {
             admitted,
             held,
@@ -56,14 +55,14 @@
         }
     }
 
-    /// Whether neither its instance nor a node on the way to it stands outside the
-    /// allowed regions.
+    /// Whether the instance and every node on the path to it are in the allowed regions.
     pub fn is_within(&self, gateway: &Gateway<P>, regions: &AllowedRegions) -> bool {
         self.held.is_within(gateway, regions)
     }
 
-    /// Logs that its instance, or a node on the way to it, stands outside them now.
-    pub fn log_outside(&self, regions: &AllowedRegions) {
+    /// Logs that the instance, or a node on the path to it, is now outside the allowed
+    /// regions.
+    pub fn log_outside_regions(&self, regions: &AllowedRegions) {
         Event::info("transaction_outside_regions")
             .field("instance", &self.held.instance().id)
             .field("zone", &self.held.instance().zone)
@@ -71,7 +70,7 @@
             .log();
     }
 
-    /// Runs one more statement. On failure the transaction is over.
+    /// Runs another statement. On failure the transaction is over.
     pub async fn run(
         mut self,
         gateway: &Arc<Gateway<P>>,
@@ -82,22 +81,22 @@
         self.wrote |= work.access() == Access::Write;
         let answer_by = received_at + self.admitted.route.statement_timeout;
         let principal = principal(&self.admitted, session);
-        let attempt = attempt::run_on(gateway, self.held, principal, work, answer_by).await;
+        let attempt = attempt::run_on_held(gateway, self.held, principal, work, answer_by).await;
         match attempt {
-            Attempt::Answered(Answer { reply, held, .. }) => {
+            AttemptOutcome::Answered(Answer { reply, held, .. }) => {
                 self.held = held;
                 Ok((self, reply))
             }
-            Attempt::NotRun(NotRunCause::Refused(BackendErrorKind::Busy)) => {
+            AttemptOutcome::NotRun(NotRunCause::Refused(BackendErrorKind::Busy)) => {
                 Err(Failure::NotRun(NotRun::Overloaded))
             }
-            Attempt::NotRun(_) | Attempt::Lost | Attempt::TimedOut => {
+            AttemptOutcome::NotRun(_) | AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
                 Err(Failure::NotRun(NotRun::TransactionAborted))
             }
         }
     }
 
-    /// Commits.
+    /// Commits. The outcome is unknown if no answer came and the transaction wrote.
     pub async fn commit(
         self,
         gateway: &Arc<Gateway<P>>,
@@ -106,12 +105,16 @@
         answer_by: Instant,
     ) -> Result<Committed, Failure> {
         let principal = principal(&self.admitted, session);
-        let attempt = attempt::run_on(gateway, self.held, principal, work, answer_by).await;
+        let attempt = attempt::run_on_held(gateway, self.held, principal, work, answer_by).await;
         let answer = match attempt {
-            Attempt::Answered(answer) => answer,
-            Attempt::NotRun(_) => return Err(Failure::NotRun(NotRun::TransactionAborted)),
-            Attempt::Lost => return Err(commit_lost(self.wrote, Unknown::ConnectionLost)),
-            Attempt::TimedOut => return Err(commit_lost(self.wrote, Unknown::TimedOut)),
+            AttemptOutcome::Answered(answer) => answer,
+            AttemptOutcome::NotRun(_) => return Err(Failure::NotRun(NotRun::TransactionAborted)),
+            AttemptOutcome::Lost => {
+                return Err(lost_commit_failure(self.wrote, Unknown::ConnectionLost));
+            }
+            AttemptOutcome::TimedOut => {
+                return Err(lost_commit_failure(self.wrote, Unknown::TimedOut));
+            }
         };
         let succeeded = answer.reply.error().is_none();
         let position = answer.reply.position.filter(|_| self.wrote && succeeded);
@@ -120,7 +123,7 @@
                 sent_at: answer.sent_at,
                 position,
             };
-            gateway.primary_proved(answer.held.instance(), sample);
+            gateway.record_primary_proof(answer.held.instance(), sample);
         }
         answer.held.finish(answer.reply.status);
         Ok(Committed {
@@ -129,13 +132,13 @@
         })
     }
 
-    /// Rolls back without anybody waiting for it.
+    /// Rolls back in the background.
     pub fn abandon(self) {
         match self.held {
-            Held::Own(lease) => {
+            HeldConnection::Own(lease) => {
                 tokio::spawn(roll_back(lease));
             }
-            Held::Lent(lent) => lent.release(),
+            HeldConnection::Lent(lent) => lent.release(),
         }
     }
 }
@@ -148,21 +151,22 @@
     }
 }
 
-/// Rolls back and gives the connection back; closes it if that fails.
+/// Rolls back and gives the connection back; closes it if the rollback fails.
 pub(crate) async fn roll_back<C: BackendConnection>(mut lease: Lease<C>) {
     let exchange = lease.pooled().connection.exchange(&[Command::Rollback]);
     if let Ok(Ok(replies)) = timeout(ROLLBACK_TIMEOUT, exchange).await {
-        attempt::finish_own(lease, replies[0].status);
+        attempt::finish_lease(lease, replies[0].status);
     }
 }
 
-/// Gives back the connection of a statement that stood alone.
-pub(crate) fn finish_alone<P: Platform>(answer: Answer<P>) -> BackendReply {
+/// Gives back the connection of a statement that ran outside of a transaction.
+pub(crate) fn finish_autocommit<P: Platform>(answer: Answer<P>) -> BackendReply {
     answer.held.finish(answer.reply.status);
     answer.reply
 }
 
-fn commit_lost(wrote: bool, unknown: Unknown) -> Failure {
+/// The failure to report when a commit was sent and no answer came.
+fn lost_commit_failure(wrote: bool, unknown: Unknown) -> Failure {
     if wrote {
         Failure::Unknown(unknown)
     } else {
--- a/crates/linkhold-gateway/tests/gate.rs
+++ b/crates/linkhold-gateway/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Statements under way at one instance: limit, order, what is given back.
+//! The gate before an instance: its limit, its queue order and the return of permits.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -23,25 +23,25 @@
     Gate::new(ConcurrencyLimit::new(1, 2))
 }
 
-fn far() -> Instant {
+fn far_deadline() -> Instant {
     Instant::now() + Duration::from_secs(60)
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_more_than_the_limit_pass_and_whoever_waits_too_long_does_not() {
+async fn no_more_than_the_limit_run_and_waiting_ends_at_the_deadline() {
     let gate = gate();
-    let first = gate.enter(READ, far()).await;
-    let second = gate.enter(READ, far()).await;
+    let first = gate.acquire(READ, far_deadline()).await;
+    let second = gate.acquire(READ, far_deadline()).await;
     assert!(first.is_some() && second.is_some());
-    assert!(gate.enter(WRITE, Instant::now()).await.is_none());
+    assert!(gate.acquire(WRITE, Instant::now()).await.is_none());
     drop(first);
-    assert!(gate.enter(WRITE, Instant::now()).await.is_some());
+    assert!(gate.acquire(WRITE, Instant::now()).await.is_some());
 }
 
 #[tokio::test]
-async fn who_waits_goes_by_urgency_then_by_arrival() {
+async fn waiting_statements_run_by_urgency_then_by_arrival() {
     let gate = gate();
-    let held = [gate.enter_at_once(), gate.enter_at_once()];
+    let held = [gate.acquire_immediately(), gate.acquire_immediately()];
     let order = Arc::new(Mutex::new(Vec::new()));
     let mut tasks = Vec::new();
     for (name, urgency) in [
@@ -52,11 +52,11 @@
     ] {
         let (gate, order) = (gate.clone(), order.clone());
         tasks.push(tokio::spawn(async move {
-            let pass = gate.enter(urgency, far()).await;
+            let permit = gate.acquire(urgency, far_deadline()).await;
             order.lock().unwrap().push(name);
-            drop(pass);
+            drop(permit);
         }));
-        // Each waits before the next one comes.
+        // Each task waits before the next one is started.
         tokio::task::yield_now().await;
     }
     let [one, other] = held;
@@ -69,21 +69,20 @@
     assert_eq!(*order, ["write", "urgent read", "read", "later read"]);
 }
 
-/// A pass that was granted to someone who has left in the same moment is not
-/// lost.
+/// A permit that is granted while its waiter is cancelled is not lost.
 #[tokio::test]
-async fn a_pass_that_nobody_takes_goes_to_the_next() {
+async fn a_permit_of_a_cancelled_waiter_goes_to_the_next() {
     let gate = gate();
-    let held = [gate.enter_at_once(), gate.enter_at_once()];
-    let leaving = tokio::spawn({
+    let held = [gate.acquire_immediately(), gate.acquire_immediately()];
+    let cancelled = tokio::spawn({
         let gate = gate.clone();
-        async move { gate.enter(WRITE, far()).await.is_some() }
+        async move { gate.acquire(WRITE, far_deadline()).await.is_some() }
     });
     tokio::task::yield_now().await;
     drop(held);
-    leaving.abort();
-    // It has passed or has been ended; neither keeps a pass.
-    let _ = leaving.await;
-    assert!(gate.enter(READ, far()).await.is_some());
-    assert!(gate.enter(READ, far()).await.is_some());
+    cancelled.abort();
+    // The task has finished or was cancelled; in neither case does it keep a permit.
+    let _ = cancelled.await;
+    assert!(gate.acquire(READ, far_deadline()).await.is_some());
+    assert!(gate.acquire(READ, far_deadline()).await.is_some());
 }
