--- a/crates/linkhold-gateway/src/confirmation.rs
+++ b/crates/linkhold-gateway/src/confirmation.rs
@@ -48,7 +48,8 @@
         if is_confirmed(&gateway).await {
             let agreed = gateway.cluster.permission.agreed();
             gateway
-                .cluster.permission
+                .cluster
+                .permission
                 .record_confirmation(asked_at, &agreed);
             gateway.followers.record_confirmation(asked_at);
         }
--- a/crates/linkhold-gateway/src/failover/promotion.rs
+++ b/crates/linkhold-gateway/src/failover/promotion.rs
@@ -305,7 +305,9 @@
         })
         // A misplaced primary still serves: its successor must be well placed and not
         // leaving.
-        .filter(|it| reason != FailoverReason::Misplaced || it.is_in_primary_region && !it.is_leaving)
+        .filter(|it| {
+            reason != FailoverReason::Misplaced || it.is_in_primary_region && !it.is_leaving
+        })
         .collect();
     let candidates = match reason {
         FailoverReason::Leaving | FailoverReason::Misplaced => {
--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -260,7 +260,8 @@
     fn handle_confirmed(&self, number: u64, agreed: &[String]) {
         if let Some(sent_at) = lock(self.renewals).confirm(number) {
             self.gateway
-                .cluster.permission
+                .cluster
+                .permission
                 .record_confirmation(sent_at, agreed);
         }
     }
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -233,7 +233,9 @@
     let opens = matches!(frame, TransactionFrame::Begin { .. });
     let attempt = attempt::run_locally(gateway, &instance, principal, &work, frame, bounds).await;
     match attempt {
-        AttemptOutcome::Answered(answer) if opens => lent.finish_statement(statement.number, answer),
+        AttemptOutcome::Answered(answer) if opens => {
+            lent.finish_statement(statement.number, answer)
+        }
         AttemptOutcome::Answered(answer) => {
             let (reply, begin) = replies(&answer);
             answer.held.finish(answer.reply.status);
--- a/crates/linkhold-gateway/src/gateway.rs
+++ b/crates/linkhold-gateway/src/gateway.rs
@@ -23,8 +23,8 @@
 use crate::ports::{BackendConnector, Platform};
 use crate::settings::GatewaySettings;
 use crate::state::{
-    EvidenceQuestions, Fleet, FleetSource, Forwarding, OwnRow, Peers, PrimaryVerifications, PromotionRecords,
-    ReaderLink, Relays, Sources, WarmUps,
+    EvidenceQuestions, Fleet, FleetSource, Forwarding, OwnRow, Peers, PrimaryVerifications,
+    PromotionRecords, ReaderLink, Relays, Sources, WarmUps,
 };
 use crate::store_era::StoreEra;
 use crate::watchers::Watchers;
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -227,7 +227,8 @@
     };
     let found = match &instance {
         Some(instance)
-            if purpose == QuestionPurpose::Probe || may_answer_for(&gateway, instance, &subject) =>
+            if purpose == QuestionPurpose::Probe
+                || may_answer_for(&gateway, instance, &subject) =>
         {
             check_reachability(&gateway, instance, purpose).await
         }
@@ -236,7 +237,8 @@
     };
     if found != Reachability::Reached && purpose == QuestionPurpose::Replace {
         gateway
-            .cluster.permission
+            .cluster
+            .permission
             .agree(&subject, questioner.number);
     }
     if found == Reachability::Unreached && purpose == QuestionPurpose::Replace {
@@ -244,7 +246,8 @@
             (Some(instance), _) => gateway.cluster.withhold(&instance.id, questioner.number),
             (None, QuestionSubject::Instance(id)) => {
                 gateway
-                    .cluster.withhold(&instance_id(id), questioner.number);
+                    .cluster
+                    .withhold(&instance_id(id), questioner.number);
             }
             (None, QuestionSubject::PrimaryOf(_)) => {}
         }
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -317,7 +317,7 @@
         let chosen =
             gateway
                 .cluster
-            .choose_for_read(service, fence, &excluded, context.regions, now);
+                .choose_for_read(service, fence, &excluded, context.regions, now);
         let Some((instance, is_last)) = chosen else {
             if now + ROUND_PAUSE >= context.wait_deadline() {
                 return Err(Failure::NotRun(reason));
