--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -1,23 +1,24 @@
-//! Replacing a primary: who may order it, when, and in favour of whom.
+//! Replacing a primary: which node may order it, when, and which successor is promoted.
 //!
 //! # Invariants
 //!
-//! * A token belongs to one holder and one intended successor. A new holder,
-//!   or another successor, takes a higher one, so that an order which was
-//!   delayed on the way is refused once a newer one has been seen.
-//! * A lease of one era of the store gives no order in another: a store that comes back
-//!   from an older copy may have lost a claim. Tokens of a later era are higher than all of
-//!   an earlier one ([`next_token`]), whichever of them the copy knows.
-//! * An old primary is ordered to lead again under a lease that directly follows the one
-//!   for its successor ([`FailoverLease::directly_follows`]): a node that stood still between
-//!   the two may wake after somebody else's promotion.
-//! * A holder keeps other nodes from claiming for [`LEASE`], counted on the
-//!   store's clock from the write that claimed.
-//! * An order leaves only while its lease lasts for [`ORDER_TIMEOUT`] more, by its
+//! * A token belongs to one holder and one intended successor. A new holder, or another
+//!   successor, takes a higher one, so that a delayed order is refused once a newer one
+//!   has been seen.
+//! * A lease of one era of the store permits no order in another: a store that was
+//!   restored from an older copy may have lost a claim. Tokens of a later era are
+//!   higher than all of an earlier one ([`next_token`]), whichever of them the copy
+//!   holds.
+//! * A former primary is ordered to resume under a lease that directly follows the one
+//!   for its successor ([`FailoverLease::directly_follows`]): a node that was paused
+//!   between the two may wake after another node's promotion.
+//! * A holder keeps other nodes from claiming for [`LEASE`], counted on the store's
+//!   clock from the write that claimed.
+//! * An order is sent only while its lease lasts for [`ORDER_TIMEOUT`] more, by its
 //!   node's steady clock, counted from before the lease was claimed.
-//! * Where the authority checks no tokens, the row tells that an order is about to
-//!   leave. For [`MAX_ORDER_DELAY`] no other token is handed out then: the order may be
-//!   carried out late, behind newer ones.
+//! * Where the authority checks no tokens, the row records that an order is about to be
+//!   sent. For [`MAX_ORDER_DELAY`] no other token is handed out then: the order may be
+//!   carried out late, after newer ones.
 
 use std::time::Duration;
 
@@ -26,14 +27,15 @@
 use super::instance::{InstanceId, Role};
 use super::store_revision::Era;
 
-/// How long a claim keeps others from claiming.
+/// How long a claim keeps other nodes from claiming.
 pub const LEASE: Duration = Duration::from_millis(4_000);
 
-/// How long an order to promote may take to be answered; its connection is reset
-/// then, so that it leaves no later.
+/// How long the answer to a promotion order may take. The connection is reset then, so
+/// that the order is not sent later.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// For how long an order without an answer may still be carried out: seconds, say the
-/// users; a node that gave one up and claimed anew was overtaken by it after 1.9 s.
+/// How long after it was sent an unanswered order may still be carried out: seconds, as
+/// users report. An order that a node had given up overtook the node's new claim after
+/// 1.9 s.
 pub const MAX_ORDER_DELAY: Duration = Duration::from_millis(10_000);
 
 /// The failover lease of one service, as kept in the metadata store.
@@ -45,15 +47,15 @@
     pub token: u64,
     /// When it was claimed or renewed, on the store's clock in milliseconds.
     pub claimed_at: u64,
-    /// The instance its token promotes; `None` while the lease is only held
-    /// ready and its token was not used.
+    /// The instance that its token promotes; `None` if the lease was claimed in advance
+    /// and its token was not used.
     pub successor: Option<InstanceId>,
-    /// When an order under it was about to leave, on the store's clock in
-    /// milliseconds; `None` if none was, or the authority checks tokens.
+    /// When an order under it was about to be sent, on the store's clock in
+    /// milliseconds; `None` if none was, or if the authority checks tokens.
     pub ordered_at: Option<u64>,
 }
 
-/// Bits of a token below its era: as many claims as a service may have in one.
+/// Bits of a token below its era: enough for all claims of a service in one era.
 const TOKEN_ERA_SHIFT: u32 = 32;
 
 /// A token above `token` and above all tokens of earlier eras.
@@ -76,16 +78,16 @@
     pub era: Era,
 }
 
-/// What a node may do about a service's lease.
+/// Result of a claim for a service's lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// Write this lease under the condition that the row is unchanged.
+    /// Write this lease on condition that the row is unchanged.
     Write(FailoverLease),
-    /// Another node holds it for this long.
+    /// Another node holds the lease for this long.
     HeldElsewhere(Duration),
 }
 
-/// Decides on a claim.
+/// Decides on a node's claim to promote a successor.
 pub fn claim(
     current: Option<&FailoverLease>,
     node: &str,
@@ -96,17 +98,17 @@
     let Some(current) = current else {
         return ClaimDecision::Write(lease(node, next_token(0, era), now, successor));
     };
-    let is_of_era = era_of_token(current.token) == era;
-    if is_of_era && current.holder == node && current.may_promote(successor) {
+    let is_current_era = era_of_token(current.token) == era;
+    if is_current_era && current.holder == node && current.may_promote(successor) {
         return ClaimDecision::Write(FailoverLease {
             ordered_at: current.ordered_at,
             ..lease(node, current.token, now, successor)
         });
     }
     let left = match current.ordered_at {
-        Some(ordered_at) => left_of(MAX_ORDER_DELAY, ordered_at, now),
+        Some(ordered_at) => remaining(MAX_ORDER_DELAY, ordered_at, now),
         None if current.holder == node => None,
-        None => left_of(LEASE, current.claimed_at, now),
+        None => remaining(LEASE, current.claimed_at, now),
     };
     match left {
         Some(left) => ClaimDecision::HeldElsewhere(left),
@@ -114,9 +116,9 @@
     }
 }
 
-/// What is left of a time that began at a moment of the store's clock; `None` if
-/// nothing is.
-fn left_of(time: Duration, from: u64, now: u64) -> Option<Duration> {
+/// What remains of a period that began at a moment of the store's clock; `None` if it
+/// is over.
+fn remaining(time: Duration, from: u64, now: u64) -> Option<Duration> {
     let age = Duration::from_millis(now.saturating_sub(from));
     time.checked_sub(age).filter(|left| !left.is_zero())
 }
@@ -131,9 +133,9 @@
     }
 }
 
-/// A lease to hold ready, so that a promotion needs no store where the
-/// authority itself refuses old tokens; `None` if there is nothing to claim.
-/// Only a lease whose holder is gone is taken over.
+/// A lease claimed in advance, so that a promotion does not need the store where the
+/// authority itself refuses old tokens; `None` if there is nothing to claim. Only a
+/// lease whose holder has left the fleet is taken over.
 pub fn claim_in_advance(
     current: Option<&FailoverLease>,
     node: &str,
@@ -144,11 +146,11 @@
     let token = match current {
         None => next_token(0, era),
         Some(current) => {
-            let is_held = left_of(LEASE, current.claimed_at, now).is_some();
+            let is_held = remaining(LEASE, current.claimed_at, now).is_some();
             let ordered_at = current.ordered_at;
-            let is_open = ordered_at.and_then(|at| left_of(MAX_ORDER_DELAY, at, now));
-            let is_of_era = era_of_token(current.token) == era;
-            if is_held || is_open.is_some() || is_of_era && is_in_fleet(&current.holder) {
+            let is_open = ordered_at.and_then(|at| remaining(MAX_ORDER_DELAY, at, now));
+            let is_current_era = era_of_token(current.token) == era;
+            if is_held || is_open.is_some() || is_current_era && is_in_fleet(&current.holder) {
                 return None;
             }
             next_token(current.token, era)
@@ -164,8 +166,8 @@
 }
 
 impl FailoverLease {
-    /// The lease as it is written just before an order leaves under `claimed`; `None` if
-    /// another claim has taken its place.
+    /// The lease as it is written just before an order is sent under `claimed`; `None`
+    /// if another claim has replaced it.
     pub fn with_order_recorded(&self, claimed: &Self, now: u64) -> Option<Self> {
         let is_same = self.holder == claimed.holder
             && self.token == claimed.token
@@ -177,15 +179,16 @@
         })
     }
 
-    /// Whether it was claimed right after an earlier one of the same holder: nobody else
-    /// has claimed in between, so nobody else has ordered a promotion.
+    /// Whether it was claimed right after an earlier lease of the same holder: no other
+    /// node has claimed in between, so none has ordered a promotion.
     pub fn directly_follows(&self, earlier: &Self) -> bool {
         self.holder == earlier.holder && self.token == earlier.token + 1
     }
 
-    /// Whether an order under it may still be carried out at a moment of the store's clock.
+    /// Whether an order under it may still be carried out at a moment of the store's
+    /// clock.
     pub fn may_take_effect(&self, now: u64) -> bool {
-        left_of(LEASE + MAX_ORDER_DELAY, self.claimed_at, now).is_some()
+        remaining(LEASE + MAX_ORDER_DELAY, self.claimed_at, now).is_some()
     }
 
     /// Whether its token may be used for this successor.
@@ -196,54 +199,53 @@
     }
 }
 
-/// What nodes found when they tried to reach an instance as a primary.
+/// Results of the nodes' attempts to reach an instance as a primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReachabilityTally {
-    /// Nodes of the fleet, the asking one included.
+    /// Nodes of the fleet, including the asking one.
     pub nodes: usize,
     /// Nodes that reach it as a primary.
     pub reached: usize,
     /// Nodes that tried and did not reach it.
     pub unreached: usize,
-    /// Nodes that reach it, and it is not a primary.
+    /// Nodes that reach it, but not as a primary.
     pub not_primary: usize,
 }
 
 impl ReachabilityTally {
     /// Whether the instance certainly serves no writes through any node.
     ///
-    /// A primary that any node reaches goes on acknowledging commits, and its
-    /// replicas may lack them: replacing it would undo what was acknowledged.
-    /// A node that does not answer may be on the primary's side of a
-    /// partition, so it is waited for until it no longer counts as a node of
-    /// the fleet.
+    /// A primary that any node reaches goes on acknowledging commits, and its replicas
+    /// may lack them: replacing it would undo acknowledged commits. A node that does
+    /// not answer may be on the primary's side of a partition, so its answer is
+    /// required until it no longer counts as a node of the fleet.
     pub fn is_lost(&self) -> bool {
         self.nodes > 0 && self.reached == 0 && self.unreached + self.not_primary >= self.nodes
     }
 }
 
-/// What an instance says of itself when asked.
+/// Status that an instance reports when asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceStatus {
     /// The instance.
     pub id: InstanceId,
     /// Its role.
     pub role: Role,
-    /// The newest term it follows.
+    /// The newest term that it follows.
     pub term: Term,
-    /// Position received, whether or not applied.
+    /// Log position received, whether or not applied.
     pub received: Position,
 }
 
-/// Commits a successor may lack when a primary is told to step down: they
+/// Commits that a successor may lack when a primary is ordered to step down: they
 /// follow within milliseconds while replication works.
 const SMALL_GAP: u64 = 40;
-/// Part of the drain time after which a leaving primary is replaced even if
-/// its successor lacks commits, in percent.
+/// Part of the drain time after which a leaving primary is replaced even if its
+/// successor lacks commits, in percent.
 const FORCE_PERCENT: u32 = 55;
 
-/// Whether a leaving primary may be told to step down now. A successor far
-/// behind is waited for, since what it lacks would be undone.
+/// Whether a leaving primary may be ordered to step down now. It waits for a successor
+/// that is far behind, since the commits that the successor lacks would be undone.
 pub fn may_hand_over(
     primary: Position,
     successor: Position,
@@ -255,10 +257,10 @@
     is_close || leaving_for > drain * FORCE_PERCENT / 100
 }
 
-/// Replicas that must have told their position before one may be promoted.
+/// Replicas that must have reported their position before one may be promoted.
 ///
-/// A commit that was answered after `synchronous` replicas had received it is
-/// on at least one of any `replicas - synchronous + 1` of them.
+/// A commit that was answered after `synchronous` replicas had received it is on at
+/// least one of any `replicas - synchronous + 1` of them.
 pub fn statuses_required(replicas: usize, synchronous: usize) -> usize {
     if synchronous == 0 {
         return 1;
@@ -269,39 +271,39 @@
 /// A replica that may be promoted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Successor {
-    /// What it says of itself.
+    /// The status that it reports.
     pub status: InstanceStatus,
-    /// It is leaving, so it is taken only if no other is left.
+    /// It is leaving, so it is chosen only if no other candidate is left.
     pub is_leaving: bool,
-    /// It stands where a primary of its service should.
+    /// It is in a region where a primary of its service should be.
     pub is_in_primary_region: bool,
     /// It may get any number of requests.
     pub is_warm: bool,
 }
 
-/// Whether a candidate may be promoted at all: one whose log ends in an older
-/// term than was seen acknowledged would undo all of that term.
+/// Whether a candidate may be promoted at all. Promoting one whose log ends in an older
+/// term than was seen acknowledged would undo all of the newer term.
 pub fn has_current_term(candidate: &InstanceStatus, newest_evidence: Option<Position>) -> bool {
     newest_evidence.is_none_or(|newest| candidate.received.term >= newest.term)
 }
 
-/// The instance to promote: the one that has received most, since commits are not
-/// traded for a place; among equals one that is well placed, then one that is
-/// warm, then one that stays, then the lowest identity, so that all nodes choose alike. With
-/// `synchronous` replicas nothing may come before what was received; without,
-/// an instance that leaves is passed over while another is there.
+/// The instance to promote: the one that has received most, since no commits are given
+/// up for a better region; among equals one in a primary region, then one that is warm,
+/// then one that stays, then the lowest identity, so that all nodes choose alike. With
+/// `synchronous` replicas the received position always decides; without, a leaving
+/// instance is passed over while another is there.
 pub fn choose_successor(candidates: &[Successor], synchronous: usize) -> Option<&Successor> {
-    let someone_stays = candidates.iter().any(|candidate| !candidate.is_leaving);
-    let skips_leaving = synchronous == 0 && someone_stays;
+    let any_stays = candidates.iter().any(|candidate| !candidate.is_leaving);
+    let skips_leaving = synchronous == 0 && any_stays;
     candidates
         .iter()
         .filter(|candidate| !(skips_leaving && candidate.is_leaving))
         .max_by(|first, second| rank(first).cmp(&rank(second)))
 }
 
-/// Candidates for a planned switch-over, in which commits are waited for: those that
-/// are close to the one that has received most, and warm, if any is. With
-/// `synchronous` replicas nothing comes before what was received.
+/// Candidates for a planned switch-over, which waits for commits: those that are close
+/// to the one that has received most, warm and not leaving, if there are any. With
+/// `synchronous` replicas the received position always decides, so all candidates stay.
 pub fn switchover_candidates(candidates: Vec<Successor>, synchronous: usize) -> Vec<Successor> {
     if synchronous > 0 {
         return candidates;
@@ -321,7 +323,7 @@
     }
 }
 
-/// What orders candidates; the highest goes first.
+/// Sort key of candidates; the highest comes first.
 type Rank<'a> = (
     Position,
     bool,
--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -1,36 +1,38 @@
-//! Whether a node may speak for primaries: acknowledge what they commit, and take
-//! what they answer for proof of how far their logs have come.
+//! Whether a node has permission to acknowledge writes and serve strict reads for
+//! primaries, that is, to take a primary's answer as proof of how far its log has come.
 //!
-//! Whoever replaces a primary has every node agree that the store lists, and over a
-//! quarter of those that it listed until [`EXPIRED_NODE_PERIOD`] ago. A node that is not
-//! listed may not be asked, so it has to stop by itself, before others may leave it
-//! out. It goes on as long as one of these holds:
+//! A node that replaces a primary first needs the agreement of every node that the
+//! store lists, and of more than a quarter of those that it listed up to
+//! [`EXPIRED_NODE_PERIOD`] ago. A node that is no longer listed may not be asked, so it
+//! has to stop by itself before the others may leave it out. It goes on as long as one
+//! of these holds:
 //!
 //! * the store confirmed a renewal of its registration that was sent less than
 //!   [`LISTING_VALIDITY`] ago;
 //! * three quarters of the nodes that it knows, which have a permission themselves,
 //!   confirmed less than [`CONFIRMATION_VALIDITY`] ago that they have agreed to no
-//!   replacement of which this node does not know, and this goes on without a gap from
-//!   its last renewal. So a store that is away for all does not stop the fleet at once.
+//!   replacement which this node does not know, and such confirmations have followed
+//!   its last renewal without a gap. So a store outage that affects all nodes does not
+//!   stop the fleet at once.
 //!
 //! # Invariants
 //!
 //! * All times count from before the question or renewal was sent, by the node's own
-//!   steady clock: a process that was paused holds an older permission, never a
+//!   steady clock. A process that was paused therefore has an older permission, never a
 //!   younger one.
-//! * Whoever replaces a primary lists the nodes after it has claimed the service's
-//!   lease. A node that joins, or comes back, reads the leases after it was listed:
-//!   either it is asked, or it sees the claim and waits for [`CLAIM_EFFECT_PERIOD`].
-//! * A node that agreed to a replacement tells so for [`CONSENT_RETENTION`], longer than
-//!   a gap in others' confirmations may be. Whoever confirms has a permission, so it
-//!   still counts for the quarter that has to agree to a replacement; three quarters and
-//!   more than a quarter of the same nodes share one. So whoever relies on
+//! * A node that replaces a primary lists the nodes after it has claimed the service's
+//!   lease. A node that joins or returns reads the leases after it was listed: either
+//!   it is asked, or it sees the claim and waits for [`CLAIM_EFFECT_PERIOD`].
+//! * A node that agreed to a replacement reports so for [`CONSENT_RETENTION`], longer
+//!   than a gap in others' confirmations may be. A confirming node has a permission, so
+//!   it still counts for the quarter that has to agree to a replacement; three quarters
+//!   and more than a quarter of the same nodes share one. So a node that relies on
 //!   confirmations and was not asked has stopped [`CONFIRMATION_VALIDITY`] after enough
-//!   agreed; a replacement that leaves out silent nodes waits for that.
+//!   nodes agreed; a replacement that leaves out silent nodes waits for that.
 //!
-//! Nodes that joined since a node lost the store are not among those that it knows:
-//! the last invariant takes fewer than a quarter of the nodes to join within
-//! [`EXPIRED_NODE_PERIOD`].
+//! Nodes that joined after a node lost the store are not among the nodes that it knows.
+//! The last invariant therefore assumes that fewer than a quarter of the nodes join
+//! within [`EXPIRED_NODE_PERIOD`].
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -41,23 +43,23 @@
 use super::listing::{LISTING_MARGIN, LISTING_VALIDITY, Listing};
 use super::readers::ROW_EXPIRY;
 
-/// For how long after its row has expired a node is still asked before a primary is
-/// replaced, and counts for the part that has to agree.
+/// How long after its row has expired a node is still asked before a primary is
+/// replaced, and counts for the quarter that has to agree.
 pub const EXPIRED_NODE_PERIOD: Duration = Duration::from_secs(30);
-/// How long confirmations permit a node to go on. Renewals of followers,
-/// questions of their reader and its answers follow each other within it.
+/// How long confirmations permit a node to go on. Renewals of followers, their reader's
+/// questions and the answers to these follow each other within it.
 pub const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(3_000);
-/// How long a node tells of a replacement that it agreed to: four times as long as a
-/// permission lasts that rests on confirmations, so none can miss it.
+/// How long a node reports a replacement that it agreed to: four times as long as a
+/// permission lasts that rests on confirmations, so that no node can miss it.
 pub const CONSENT_RETENTION: Duration = CONFIRMATION_VALIDITY.saturating_mul(4);
-/// How long after its last renewal a node may go on by confirmations alone: others
+/// How long after its last renewal a node may go on by confirmations alone. Others
 /// count it a little longer.
-const LONGEST_UNLISTED: Duration = LISTING_VALIDITY.saturating_add(EXPIRED_NODE_PERIOD);
-/// Age of a renewal from which a node has others confirm that it may go on.
+const MAX_UNLISTED_PERIOD: Duration = LISTING_VALIDITY.saturating_add(EXPIRED_NODE_PERIOD);
+/// Age of a renewal from which a node asks others to confirm that it may go on.
 pub const CONFIRMATION_START_AGE: Duration = Duration::from_millis(8_000);
-/// How long after a lease was claimed a promotion under it may take effect: the
-/// lease, within which an order leaves, the time in which it is on its way, and a second
-/// that the platform takes, with half a second to spare.
+/// How long after a lease was claimed a promotion under it may take effect: the lease,
+/// within which an order is sent, the time the order may be on its way, one second that
+/// the platform takes, and half a second of margin.
 pub const CLAIM_EFFECT_PERIOD: Duration = LEASE
     .saturating_add(ORDER_TIMEOUT)
     .saturating_add(Duration::from_millis(1_500));
@@ -67,49 +69,50 @@
 pub struct RecentClaim {
     /// The service.
     pub service: ServiceName,
-    /// The instance to be promoted; `None` if the lease is only held ready.
+    /// The instance to be promoted; `None` if the lease was only claimed in advance.
     pub successor: Option<InstanceId>,
-    /// How long ago it was made.
+    /// How long ago the claim was made.
     pub age: Duration,
 }
 
 impl RecentClaim {
-    /// Whether a promotion under it may still take effect.
+    /// Whether a promotion under this claim may still take effect.
     pub fn may_take_effect(&self) -> bool {
         self.successor.is_some() && self.age < CLAIM_EFFECT_PERIOD
     }
 }
 
-/// A service whose primary may be about to be replaced without this node's consent.
+/// A possible replacement of a service's primary to which this node did not agree.
 #[derive(Clone, Debug)]
-struct Bar {
+struct PendingReplacement {
     until: Instant,
-    /// The instance that takes over; once it is known to lead, that is done.
+    /// The instance that takes over. Once it is known to be primary, the replacement is
+    /// over.
     successor: InstanceId,
 }
 
-/// What a confirmed renewal means.
+/// Result of a confirmed renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalOutcome {
-    /// The node goes on.
+    /// The permission continues.
     Continued,
-    /// The node had no permission: it is to read the leases before it has one.
+    /// The node had no permission and has to read the leases before it gets one.
     NeedsAdmission,
 }
 
-/// A node's permission.
+/// A node's permission to acknowledge for primaries.
 #[derive(Clone, Debug, Default)]
 pub struct Permission {
     listing: Listing,
     confirmed_until: Option<Instant>,
-    bars: HashMap<ServiceName, Bar>,
-    /// When it was admitted again after its permission had run out.
-    regained_at: Option<Instant>,
+    pending_replacements: HashMap<ServiceName, PendingReplacement>,
+    /// When the node was admitted again after its permission had run out.
+    readmitted_at: Option<Instant>,
 }
 
 impl Permission {
-    /// The store confirmed a renewal that was sent at a moment. A node without a
-    /// permission has none before [`Permission::admit`].
+    /// Records that the store confirmed a renewal that was sent at `sent_at`. A node
+    /// without a permission gets none before [`Permission::admit`].
     pub fn record_renewal(&mut self, sent_at: Instant, now: Instant) -> RenewalOutcome {
         if !self.is_valid(now) {
             return RenewalOutcome::NeedsAdmission;
@@ -118,11 +121,11 @@
         RenewalOutcome::Continued
     }
 
-    /// The node is listed by a renewal that was sent at a moment, and has read which
-    /// leases are claimed since.
+    /// Admits a node that is listed by a renewal sent at `sent_at` and has read the
+    /// leases claimed since then.
     pub fn admit(&mut self, sent_at: Instant, claims: &[RecentClaim], now: Instant) {
         if self.listing.renewed_at().is_some() {
-            self.regained_at = Some(now);
+            self.readmitted_at = Some(now);
         }
         self.listing.record_renewal(sent_at);
         for claim in claims.iter().filter(|claim| claim.may_take_effect()) {
@@ -130,14 +133,16 @@
                 continue;
             };
             let until = now + (CLAIM_EFFECT_PERIOD - claim.age);
-            self.bars
-                .insert(claim.service.clone(), Bar { until, successor });
+            self.pending_replacements.insert(
+                claim.service.clone(),
+                PendingReplacement { until, successor },
+            );
         }
     }
 
-    /// Enough of the nodes that this one knows confirmed, to a question that was sent at
-    /// a moment, that they have agreed to no replacement. A permission that had
-    /// run out by then does not come back.
+    /// Records that enough of the known nodes confirmed, in answer to a question sent
+    /// at `asked_at`, that they have agreed to no replacement. A permission that had
+    /// run out by then is not restored.
     pub fn record_confirmation(&mut self, asked_at: Instant) {
         let Some(renewed_at) = self.listing.renewed_at() else {
             return;
@@ -145,23 +150,25 @@
         if !self.is_valid(asked_at) {
             return;
         }
-        let until = (asked_at + CONFIRMATION_VALIDITY).min(renewed_at + LONGEST_UNLISTED);
+        let until = (asked_at + CONFIRMATION_VALIDITY).min(renewed_at + MAX_UNLISTED_PERIOD);
         self.confirmed_until = self.confirmed_until.max(Some(until));
     }
 
-    /// Until when the node may go on; `None` if it never might.
+    /// End of the permission; `None` if the node never had one.
     pub fn valid_until(&self) -> Option<Instant> {
         self.listing.valid_until().max(self.confirmed_until)
     }
 
-    /// Whether the node may speak for primaries at a moment.
+    /// Whether the node may acknowledge for primaries at a moment.
     pub fn is_valid(&self, moment: Instant) -> bool {
         self.valid_until().is_some_and(|until| moment < until)
     }
 
-    /// Whether the node may speak at a moment for an instance as the primary of a
-    /// service. `directory_as_of` is the last moment as of which it knows the instances:
-    /// what was replaced while it had no permission, or was barred, it has to have heard.
+    /// Whether the node may acknowledge at a moment for an instance as the primary of a
+    /// service. `directory_as_of` is the latest moment for which it knows the
+    /// instances. It has to cover the moment of readmission and the end of a pending
+    /// replacement, so that the node knows which primaries were replaced in the
+    /// meantime.
     pub fn may_acknowledge_for(
         &self,
         service: &str,
@@ -169,67 +176,69 @@
         moment: Instant,
         directory_as_of: Option<Instant>,
     ) -> bool {
-        let has_heard = |since: Instant| directory_as_of.is_some_and(|as_of| as_of >= since);
-        let is_over = |bar: &Bar| moment >= bar.until && has_heard(bar.until);
-        let bar = self.bars.get(service);
-        let is_barred = bar.is_some_and(|bar| !is_over(bar) && bar.successor != *instance);
-        let knows_what_it_missed = self.regained_at.is_none_or(has_heard);
-        self.is_valid(moment) && knows_what_it_missed && !is_barred
+        let is_known_since = |since: Instant| directory_as_of.is_some_and(|as_of| as_of >= since);
+        let is_over =
+            |pending: &PendingReplacement| moment >= pending.until && is_known_since(pending.until);
+        let pending = self.pending_replacements.get(service);
+        let is_replacement_pending =
+            pending.is_some_and(|pending| !is_over(pending) && pending.successor != *instance);
+        let knows_missed_changes = self.readmitted_at.is_none_or(is_known_since);
+        self.is_valid(moment) && knows_missed_changes && !is_replacement_pending
     }
 
-    /// Whether the node is to have others confirm that it may go on.
+    /// Whether the node has to ask others to confirm that it may go on.
     pub fn needs_confirmation(&self, now: Instant) -> bool {
         let is_old = |renewed_at: Instant| now >= renewed_at + CONFIRMATION_START_AGE;
         self.is_valid(now) && self.listing.renewed_at().is_some_and(is_old)
     }
 
-    /// What the node knows of its own registration.
+    /// The node's knowledge of its own listing.
     pub fn listing(&self) -> &Listing {
         &self.listing
     }
 }
 
-/// What a node has agreed to lately, as far as permissions go.
+/// Replacements that a node has agreed to lately.
 #[derive(Clone, Debug, Default)]
 pub struct Consents {
-    /// What was asked for, and when the node agreed to each question, by its number.
+    /// When the node agreed to each question, by subject and by the question's number.
     agreed: HashMap<String, HashMap<u64, Instant>>,
 }
 
 impl Consents {
-    /// The node agreed to a replacement. `subject` tells of what, in the words of the
-    /// question, which are the same at all nodes.
+    /// Records that the node agreed to a replacement. `subject` is what is replaced, as
+    /// the question names it; all nodes use the same text.
     pub fn agree(&mut self, subject: &str, question: u64, now: Instant) {
-        self.forget(now);
+        self.drop_expired(now);
         let questions = self.agreed.entry(subject.to_owned()).or_default();
         questions.insert(question, now);
     }
 
-    /// Whoever asked a question orders nothing.
+    /// Removes the consent to a question whose sender orders no promotion.
     pub fn release(&mut self, question: u64) {
-        self.keep(|number, _| number != question);
+        self.retain(|number, _| number != question);
     }
 
-    /// What the node has agreed to lately.
+    /// Subjects that the node has agreed to lately.
     pub fn recent(&mut self, now: Instant) -> Vec<String> {
-        self.forget(now);
+        self.drop_expired(now);
         self.agreed.keys().cloned().collect()
     }
 
-    /// Whether this node knows of all that another has agreed to: it agreed as well, so
-    /// it speaks for nothing that is replaced.
+    /// Whether this node has also agreed to all subjects that another node has agreed
+    /// to, so that it acknowledges for nothing that is being replaced.
     pub fn include_all(&mut self, others: &[String], now: Instant) -> bool {
-        self.forget(now);
+        self.drop_expired(now);
         others
             .iter()
             .all(|subject| self.agreed.contains_key(subject))
     }
 
-    fn forget(&mut self, now: Instant) {
-        self.keep(|_, agreed_at| now < agreed_at + CONSENT_RETENTION);
+    fn drop_expired(&mut self, now: Instant) {
+        self.retain(|_, agreed_at| now < agreed_at + CONSENT_RETENTION);
     }
 
-    fn keep(&mut self, is_kept: impl Fn(u64, Instant) -> bool) {
+    fn retain(&mut self, is_kept: impl Fn(u64, Instant) -> bool) {
         for questions in self.agreed.values_mut() {
             questions.retain(|number, agreed_at| is_kept(*number, *agreed_at));
         }
@@ -237,30 +246,30 @@
     }
 }
 
-/// One in so many nodes may be missing where a node goes on by confirmations. Fewer may
-/// be missing than with majorities, so that a replacement needs few of the nodes that
-/// are left: any number may be lost at once.
-const PART: usize = 4;
-/// Smallest fleet whose nodes go on by confirmations: in a smaller one, a single node
-/// that joins would be enough to replace a primary.
-const LEAST_CONFIRMED_FLEET: usize = 3;
+/// One node in this many may be missing where a node goes on by confirmations. Fewer
+/// may be missing than with majorities, so that a replacement needs few of the
+/// remaining nodes: any number of nodes may be lost at once.
+const QUORUM_DIVISOR: usize = 4;
+/// Smallest fleet whose nodes go on by confirmations. In a smaller fleet, a single
+/// joining node would be enough to replace a primary.
+const MIN_FLEET_FOR_CONFIRMATIONS: usize = 3;
 
-/// Nodes, the one that asks included, that have to confirm that it may go on; `None`
+/// Nodes, including the asking one, that have to confirm that it may go on; `None`
 /// where confirmations do not count.
 pub fn confirmations_needed(nodes: usize) -> Option<usize> {
-    (nodes >= LEAST_CONFIRMED_FLEET).then(|| nodes - nodes / PART)
+    (nodes >= MIN_FLEET_FOR_CONFIRMATIONS).then(|| nodes - nodes / QUORUM_DIVISOR)
 }
 
-/// Sizes of the fleet that a node saw lately. Nodes that it sees no more may still count
-/// for others, so that confirmations are counted over the largest.
+/// Fleet sizes that a node saw lately. Nodes that it no longer sees may still count for
+/// others, so confirmations are counted against the largest size.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSizes {
-    /// Sizes, and until when each counts; falling.
+    /// Sizes in falling order, and until when each counts.
     sizes: Vec<(usize, Instant)>,
 }
 
 impl FleetSizes {
-    /// The node sees so many nodes.
+    /// Records the current size of the fleet.
     pub fn record(&mut self, size: usize, now: Instant) {
         self.sizes
             .retain(|(known, until)| now < *until && *known > size);
@@ -268,21 +277,21 @@
             .push((size, now + ROW_EXPIRY + EXPIRED_NODE_PERIOD));
     }
 
-    /// The most that it saw as long as they may count.
+    /// The largest recorded size that still counts.
     pub fn largest(&self, now: Instant) -> usize {
         let sizes = self.sizes.iter().filter(|(_, until)| now < *until);
         sizes.map(|(size, _)| *size).max().unwrap_or(0)
     }
 }
 
-/// Nodes, the one that asks included, that have to agree to a replacement, of all that
-/// were listed lately.
+/// Nodes, including the asking one, that have to agree to a replacement, out of `nodes`
+/// that were listed lately.
 pub fn agreements_needed(nodes: usize) -> usize {
-    nodes / PART + 1
+    nodes / QUORUM_DIVISOR + 1
 }
 
 // A node that goes on by confirmations alone stops while others still count it.
 const _: () = assert!(
-    LONGEST_UNLISTED.as_millis() + LISTING_MARGIN.as_millis()
+    MAX_UNLISTED_PERIOD.as_millis() + LISTING_MARGIN.as_millis()
         <= ROW_EXPIRY.as_millis() + EXPIRED_NODE_PERIOD.as_millis()
 );
--- a/crates/linkhold-core/src/service/primary_verification.rs
+++ b/crates/linkhold-core/src/service/primary_verification.rs
@@ -1,45 +1,50 @@
-//! Whether an instance that says it leads was replaced before a node knew of it.
+//! Verifies that an instance which announces the primary role was not replaced before a
+//! node learnt of it.
 //!
-//! An instance's entry tells a role and no term. A primary that was replaced while it was
-//! cut off goes on saying that it leads, and nobody contradicts it while its successor is
-//! away. So the word of those instances that answer is not enough: what the store keeps of
-//! earlier promotions counts as well ([`PromotionRecord`]).
+//! An instance's entry states a role and no term. A primary that was replaced while it
+//! was cut off goes on announcing the primary role, and nothing contradicts it while
+//! its successor is unreachable. So the statuses of the instances that answer are not
+//! enough: the promotions that the store has recorded count as well
+//! ([`PromotionRecord`]).
 //!
 //! # Invariant
 //!
-//! No answer is no proof. [`PrimaryVerdict::Leads`] takes the instance's own word, and that of
-//! each other one that may have been promoted since a lead was proved last.
+//! A missing answer proves nothing. [`PrimaryVerdict::Leads`] requires the instance's
+//! own status, and that of each other instance that may have been promoted since a
+//! primary was last verified.
 
 use super::failover::InstanceStatus;
 use super::instance::{InstanceId, Role};
 use crate::position::Term;
 
-/// What the store keeps of a service's promotions.
+/// The store's record of a service's promotions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromotionRecord {
-    /// The newest term in which a primary's log was proved to end, if that followed another
-    /// one.
+    /// The newest term in which a primary's log was proved to end, if that followed
+    /// another term.
     pub proved_term: Option<Term>,
-    /// The instances for which the lease was claimed since then, the latest last. Each may
-    /// have been promoted, or the claim was given up.
+    /// The instances for which the lease was claimed since then, the latest last. Each
+    /// may have been promoted, or the claim was given up.
     pub claimed: Vec<InstanceId>,
 }
 
-/// Claimed instances that are kept, at the most: more than a service has, each in a few lives.
-const MOST_CLAIMED: usize = 16;
+/// Maximum number of claimed instances kept: more than a service has, each in a few
+/// incarnations.
+const MAX_CLAIMED: usize = 16;
 
 impl PromotionRecord {
-    /// The lease is claimed for an instance.
+    /// Records that the lease is claimed for an instance.
     pub fn record_claim(&mut self, successor: &InstanceId) {
         self.claimed.retain(|claimed| claimed != successor);
         self.claimed.push(successor.clone());
-        if self.claimed.len() > MOST_CLAIMED {
+        if self.claimed.len() > MAX_CLAIMED {
             self.claimed.remove(0);
         }
     }
 
-    /// A primary's log was proved to end in a term; whether that is news. Nobody claimed
-    /// before leads a later one, but `pending`, for which a claim may still take effect.
+    /// Records that a primary's log was proved to end in a term; returns whether that
+    /// changes the record. No instance claimed before is primary in a later term,
+    /// except `pending`, for which a claim may still take effect.
     pub fn record_proved_term(&mut self, term: Term, pending: Option<&InstanceId>) -> bool {
         if self.proved_term > Some(term) {
             return false;
@@ -51,21 +56,22 @@
     }
 }
 
-/// Whether an instance leads.
+/// Result of verifying a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryVerdict {
-    /// Nobody was promoted after it.
+    /// It is primary: no instance was promoted after it.
     Leads,
-    /// It says that it does not lead, or this newer term is known.
+    /// It reports that it is not primary, or this newer term is known.
     Replaced(Term),
-    /// It does not tell its term.
+    /// It does not report its term.
     Silent,
-    /// An instance for which the lease was claimed does not tell whether it was promoted.
+    /// An instance for which the lease was claimed does not report whether it was
+    /// promoted.
     Unknown,
 }
 
-/// Judges an instance that is believed to lead for its entry alone, by what it and the others
-/// of its service told when they were asked, and by what the store keeps.
+/// Verifies an instance that is considered primary for its entry alone, by the statuses
+/// that it and the other instances of its service reported and by the store's record.
 pub fn verify_primary(
     id: &InstanceId,
     statuses: &[InstanceStatus],
@@ -74,14 +80,14 @@
     let Some(own) = statuses.iter().find(|status| status.id == *id) else {
         return PrimaryVerdict::Silent;
     };
-    let told = statuses.iter().map(|status| status.term).max();
-    let newest = told.max(record.proved_term).unwrap_or(own.term);
+    let reported = statuses.iter().map(|status| status.term).max();
+    let newest = reported.max(record.proved_term).unwrap_or(own.term);
     if own.role != Role::Primary || newest > own.term {
         return PrimaryVerdict::Replaced(newest);
     }
-    // One that follows no newer term was not promoted.
-    let has_told = |claimed: &InstanceId| statuses.iter().any(|it| it.id == *claimed);
-    if record.claimed.iter().all(has_told) {
+    // An instance that follows no newer term was not promoted.
+    let has_reported = |claimed: &InstanceId| statuses.iter().any(|it| it.id == *claimed);
+    if record.claimed.iter().all(has_reported) {
         PrimaryVerdict::Leads
     } else {
         PrimaryVerdict::Unknown
