--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -200,8 +200,8 @@
 
     /// Marks the current incarnation of the instance with a name as no longer listed.
     pub fn mark_missing_by_name(&mut self, name: &str, now: Instant) {
-        if let Some(present) = self.incarnations.present(name).cloned() {
-            self.mark_missing(&present, now);
+        if let Some(current) = self.incarnations.current(name).cloned() {
+            self.mark_missing(&current, now);
         }
     }
 
--- a/crates/linkhold-core/src/service/evidence.rs
+++ b/crates/linkhold-core/src/service/evidence.rs
@@ -1,28 +1,28 @@
 //! Evidence of how far a service's log had come at a moment.
 //!
-//! A reply that only a primary can give (to a commit that wrote, to a single
-//! write, or to the start of a writing transaction) carries the position of
-//! its log. Everything acknowledged before the request was *sent* lies at or
-//! below that position, since a service has one primary at a time.
+//! A reply that only a primary can give (to a commit that wrote, to a single write, or
+//! to the start of a writing transaction) carries the position of its log. Everything
+//! acknowledged before the request was *sent* lies at or below that position, since a
+//! service has one primary at a time.
 //!
 //! # Invariants
 //!
-//! * A fence for "everything acknowledged before `m`" comes from evidence sent
-//!   at `m` or later, measured on the steady clock before sending. A process
-//!   that was paused in between has evidence older than it thinks, never
-//!   younger.
-//! * Evidence of a newer term covers every commit of older terms that still
-//!   stands, so a fence of an older term is dropped for it and not waited for. The
-//!   newest term is never forgotten: an instance that still answers in an older one
-//!   has been replaced, and proves nothing.
+//! * A fence for "everything acknowledged before `m`" comes from evidence sent at `m`
+//!   or later, measured on the steady clock before sending. A process that was paused
+//!   in between has evidence older than it assumes, never younger.
+//! * Evidence of a newer term covers every commit of older terms that still stands, so
+//!   it replaces a fence of an older term, which is not waited for. The newest term is
+//!   never forgotten: an instance that still answers in an older one has been replaced,
+//!   and proves nothing.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use crate::position::{Position, Term};
 
-/// Samples kept; with [`SAMPLE_SPACING`] they reach back several seconds.
-const MOST_SAMPLES: usize = 128;
+/// Maximum number of samples kept; with [`SAMPLE_SPACING`] they reach back several
+/// seconds.
+const MAX_SAMPLES: usize = 128;
 /// Samples closer together than this replace one another.
 const SAMPLE_SPACING: Duration = Duration::from_millis(40);
 
@@ -55,18 +55,18 @@
             self.newest_term = term;
             self.samples.clear();
         }
-        self.drop_crowded(&sample);
+        self.drop_dense_sample(&sample);
         let index = self
             .samples
             .partition_point(|known| known.sent_at <= sample.sent_at);
         self.samples.insert(index, sample);
-        if self.samples.len() > MOST_SAMPLES {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
     }
 
-    /// A primary's log was proved to end in a term, as is known from elsewhere; what was
-    /// observed in an older one proves nothing any more.
+    /// Records a term in which a primary's log was proved to end, as known from another
+    /// source. Samples of an older term are dropped, since they prove nothing any more.
     pub fn record_proved_term(&mut self, term: Term) {
         if Some(term) > self.newest_term {
             self.newest_term = Some(term);
@@ -74,16 +74,16 @@
         }
     }
 
-    /// Drops the newest sample when it lies close behind the one before it
-    /// and `next`, which is of the same term, takes its place.
-    fn drop_crowded(&mut self, next: &Sample) {
+    /// Drops the newest sample if it lies close behind the one before it, so that
+    /// `next`, which is of the same term, takes its place.
+    fn drop_dense_sample(&mut self, next: &Sample) {
         let count = self.samples.len();
         if count < 2 {
             return;
         }
         let newest = self.samples[count - 1];
-        let is_crowded = newest.sent_at - self.samples[count - 2].sent_at < SAMPLE_SPACING;
-        if is_crowded && next.sent_at >= newest.sent_at {
+        let is_dense = newest.sent_at - self.samples[count - 2].sent_at < SAMPLE_SPACING;
+        if is_dense && next.sent_at >= newest.sent_at {
             self.samples.pop_back();
         }
     }
--- a/crates/linkhold-core/src/service/incarnations.rs
+++ b/crates/linkhold-core/src/service/incarnations.rs
@@ -1,82 +1,84 @@
-//! Which life of each instance is there.
+//! Which incarnation of each instance is the current one.
 //!
-//! An instance that starts again takes a new identity ([`InstanceId`]). The one that was
-//! announced last is there; an earlier one that is announced again, as a list from an older
-//! copy may, has ended.
+//! An instance that is restarted takes a new identity ([`InstanceId`]). The incarnation
+//! that was announced last is current; an earlier one that is announced again, as a
+//! list from an older copy may do, has ended.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use super::instance::InstanceId;
 
-/// Earlier lives of an instance that are remembered: a list tells of one no longer than
-/// a copy of it may be old, in which an instance starts a few times at the most.
-const MOST_FORMER_LIVES: usize = 16;
+/// Maximum number of ended incarnations kept per instance. A list mentions one no
+/// longer than a copy of the list may be old, and an instance is restarted a few times
+/// in that period at most.
+const MAX_ENDED: usize = 16;
 
-/// What an announcement tells of the life of its instance.
+/// What an announcement changes about the current incarnation of its instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IncarnationChange {
-    /// It is the present one, or the first that is known.
+    /// Nothing: it is the current one, or the first known.
     Unchanged,
-    /// It is one that has ended.
+    /// Nothing: it is one that has ended.
     Ended,
-    /// It takes the place of this one.
+    /// It replaces this one.
     Replaces(InstanceId),
 }
 
-/// The lives of one instance.
+/// The incarnations of one instance.
 #[derive(Debug)]
-struct Lives {
-    present: InstanceId,
+struct Incarnations {
+    current: InstanceId,
     /// Those that have ended, the latest last.
-    former: VecDeque<InstanceId>,
+    ended: VecDeque<InstanceId>,
 }
 
-impl Lives {
-    fn new(present: InstanceId) -> Self {
+impl Incarnations {
+    fn new(current: InstanceId) -> Self {
         Self {
-            present,
-            former: VecDeque::new(),
+            current,
+            ended: VecDeque::new(),
         }
     }
 
-    /// Another life takes the place of the present one, which is returned.
+    /// Makes another incarnation the current one; returns the one that has ended.
     fn begin(&mut self, id: &InstanceId) -> InstanceId {
-        let ended = std::mem::replace(&mut self.present, id.clone());
-        self.former.push_back(ended.clone());
-        if self.former.len() > MOST_FORMER_LIVES {
-            self.former.pop_front();
+        let ended = std::mem::replace(&mut self.current, id.clone());
+        self.ended.push_back(ended.clone());
+        if self.ended.len() > MAX_ENDED {
+            self.ended.pop_front();
         }
         ended
     }
 }
 
-/// The lives of all instances, by the instances' names.
+/// The incarnations of all instances, by the instances' names.
 #[derive(Debug, Default)]
-pub struct KnownIncarnations(HashMap<Arc<str>, Lives>);
+pub struct KnownIncarnations(HashMap<Arc<str>, Incarnations>);
 
 impl KnownIncarnations {
-    /// A life of an instance is announced.
+    /// Takes in an announced incarnation.
     pub fn announce(&mut self, id: &InstanceId) -> IncarnationChange {
-        let Some(lives) = self.0.get_mut(id.name()) else {
-            self.0.insert(id.name().into(), Lives::new(id.clone()));
+        let Some(incarnations) = self.0.get_mut(id.name()) else {
+            self.0
+                .insert(id.name().into(), Incarnations::new(id.clone()));
             return IncarnationChange::Unchanged;
         };
-        if lives.present == *id {
+        if incarnations.current == *id {
             IncarnationChange::Unchanged
-        } else if lives.former.contains(id) {
+        } else if incarnations.ended.contains(id) {
             IncarnationChange::Ended
         } else {
-            IncarnationChange::Replaces(lives.begin(id))
+            IncarnationChange::Replaces(incarnations.begin(id))
         }
     }
 
-    /// The present life of the instance with a name.
-    pub fn present(&self, name: &str) -> Option<&InstanceId> {
-        self.0.get(name).map(|lives| &lives.present)
+    /// The current incarnation of the instance with a name.
+    pub fn current(&self, name: &str) -> Option<&InstanceId> {
+        self.0.get(name).map(|incarnations| &incarnations.current)
     }
 
-    /// The instance with a name is gone.
+    /// Forgets the instance with a name.
     pub fn forget(&mut self, name: &str) {
         self.0.remove(name);
     }
--- a/crates/linkhold-core/src/service/listing.rs
+++ b/crates/linkhold-core/src/service/listing.rs
@@ -1,23 +1,23 @@
-//! How long a node certainly counts as one of the fleet.
+//! How long a node certainly counts as a member of the fleet.
 //!
-//! Whoever replaces a primary asks every node that the store lists. A node knows
-//! that it is listed by the renewals of its registration that the store confirmed,
-//! its own or those of the reader that it follows. Each counts from before it was
-//! sent, by the node's own steady clock, so that time on the way, or in a process
-//! that was paused, makes a listing older and never younger.
+//! A node that replaces a primary asks every node that the store lists. A node knows
+//! that it is listed by the renewals of its registration that the store confirmed, its
+//! own or those of the reader that it follows. Each counts from before it was sent, by
+//! the node's own steady clock, so that delays on the way or in a paused process make a
+//! listing older and never younger.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use super::readers::ROW_EXPIRY;
 
-/// Part of a row's life that is left for steady clocks that run apart, and for the
-/// time between a look at the clock and what follows from it.
+/// Part of a row's validity that is kept in reserve for the drift of steady clocks, and
+/// for the time between reading the clock and acting on it.
 pub const LISTING_MARGIN: Duration = Duration::from_millis(1_000);
-/// How long a node counts on a renewal after it was sent.
+/// How long a renewal guarantees that the node is listed, from when it was sent.
 pub const LISTING_VALIDITY: Duration = ROW_EXPIRY.saturating_sub(LISTING_MARGIN);
 
-/// What a node knows of its own listing.
+/// A node's knowledge of its own listing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Listing {
     /// When the last renewal that the store confirmed was sent.
@@ -25,7 +25,7 @@
 }
 
 impl Listing {
-    /// The store confirmed a renewal that was sent at a moment.
+    /// Records that the store confirmed a renewal sent at `sent_at`.
     pub fn record_renewal(&mut self, sent_at: Instant) {
         self.renewed_at = self.renewed_at.max(Some(sent_at));
     }
@@ -35,12 +35,12 @@
         self.renewed_at
     }
 
-    /// Until when the node certainly counts; `None` if it was never listed.
+    /// Until when the node is certainly listed; `None` if it never was.
     pub fn valid_until(&self) -> Option<Instant> {
         self.renewed_at.map(|at| at + LISTING_VALIDITY)
     }
 
-    /// Whether the node certainly counts at a moment.
+    /// Whether the node is certainly listed at a moment.
     pub fn is_valid(&self, moment: Instant) -> bool {
         self.valid_until().is_some_and(|until| moment < until)
     }
@@ -48,23 +48,23 @@
 
 /// The renewals that a follower has sent on a stream, by their numbers.
 ///
-/// Numbers start anywhere, so that what a reader still says of an earlier stream
+/// Numbers start anywhere, so that a reader's confirmation for an earlier stream
 /// confirms nothing of this one.
 #[derive(Debug)]
 pub struct SentRenewals {
     next: u64,
-    /// Those that were not confirmed yet, oldest first.
+    /// Renewals that were not confirmed yet, oldest first.
     sent: VecDeque<(u64, Instant)>,
-    /// The one that was confirmed last.
+    /// The renewal that was confirmed last.
     last_confirmed: Option<(u64, Instant)>,
 }
 
-/// Renewals whose confirmation is waited for, at the most: more than are sent while
-/// a listing holds.
-const MOST_SENT: usize = 64;
+/// Maximum number of unconfirmed renewals kept: more than are sent while a listing is
+/// valid.
+const MAX_SENT: usize = 64;
 
 impl SentRenewals {
-    /// Nothing was sent; the first renewal will have this number.
+    /// Starts without any renewal sent; the first one gets this number.
     pub fn starting_at(number: u64) -> Self {
         Self {
             next: number,
@@ -73,19 +73,19 @@
         }
     }
 
-    /// A renewal is about to be sent; its number.
+    /// Registers a renewal that is about to be sent; returns its number.
     pub fn send(&mut self, now: Instant) -> u64 {
         let number = self.next;
         self.next = number.wrapping_add(1);
         self.sent.push_back((number, now));
-        if self.sent.len() > MOST_SENT {
+        if self.sent.len() > MAX_SENT {
             self.sent.pop_front();
         }
         number
     }
 
-    /// A renewal is confirmed, and with it those before it; when it was sent, if it is
-    /// one of this stream.
+    /// Confirms a renewal and those before it. Returns when it was sent; `None` if it
+    /// is not of this stream or was confirmed before.
     pub fn confirm(&mut self, number: u64) -> Option<Instant> {
         let index = self.sent.iter().position(|(sent, _)| *sent == number)?;
         let (_, sent_at) = self.sent[index];
@@ -94,7 +94,7 @@
         Some(sent_at)
     }
 
-    /// When a renewal was sent; `None` if that is not known any more.
+    /// When a renewal was sent; `None` if that is no longer known.
     pub fn sent_at(&self, number: u64) -> Option<Instant> {
         let mut known = self.sent.iter().chain(&self.last_confirmed);
         let (_, sent_at) = known.find(|(sent, _)| *sent == number)?;
--- a/crates/linkhold-core/src/service/store_revision.rs
+++ b/crates/linkhold-core/src/service/store_revision.rs
@@ -1,13 +1,13 @@
-//! Places in what the metadata store has recorded.
+//! Revisions of the metadata store.
 //!
-//! The store counts its changes. When it comes back from a copy that is some seconds
-//! old it has forgotten the last of them, and its count goes back and runs through
-//! numbers that it gave out before. It tells each copy apart by an era, which only
-//! rises. A number means something in its era alone.
+//! The store counts its changes. When it is restored from a copy that is some seconds
+//! old, it has lost the last of them: its count goes back and repeats numbers that it
+//! gave out before. It identifies each copy by an era, which only rises. A count is
+//! meaningful only within its era.
 
 use std::fmt;
 
-/// Which copy of itself the store runs on; 0 if it tells none.
+/// The copy of its data that the store runs on; 0 if the store reports none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Era(pub u32);
 
@@ -17,20 +17,20 @@
     }
 }
 
-/// Bits of a place that hold the count of changes: enough for a thousand changes a second
-/// over thirty years.
+/// Bits of a revision that hold the count of changes: enough for a thousand changes a
+/// second over thirty years.
 const COUNT_BITS: u32 = 40;
 
-/// A place in the store's changes: the era, and the count of changes within it. A place
-/// in a later era is later, whatever its count.
+/// A position in the store's changes: the era, and the count of changes within it. A
+/// revision of a later era is later, whatever its count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreRevision(u64);
 
 impl StoreRevision {
-    /// The place at a count of changes in an era.
+    /// The revision with a count of changes in an era.
     pub fn new(era: Era, count: u64) -> Self {
-        let most = (1 << COUNT_BITS) - 1;
-        Self((u64::from(era.0) << COUNT_BITS) | count.min(most))
+        let max_count = (1 << COUNT_BITS) - 1;
+        Self((u64::from(era.0) << COUNT_BITS) | count.min(max_count))
     }
 
     /// Its era.
@@ -44,12 +44,12 @@
         self.0 & ((1 << COUNT_BITS) - 1)
     }
 
-    /// As one number, for messages.
+    /// The revision as one number, for messages.
     pub fn to_bits(self) -> u64 {
         self.0
     }
 
-    /// From [`StoreRevision::to_bits`].
+    /// The revision of [`StoreRevision::to_bits`].
     pub fn from_bits(bits: u64) -> Self {
         Self(bits)
     }
