--- a/crates/linkhold-core/src/service/readers.rs
+++ b/crates/linkhold-core/src/service/readers.rs
@@ -23,7 +23,7 @@
 pub const SMALL_FLEET: usize = 16;
 /// Minimum number of readers of a larger fleet: followers that lose theirs turn to
 /// another one. Each reader calls the store about once a second, so that two in each of
-/// three regions made 384 of 759 calls on a simulated day of 49 s with 23 nodes.
+/// three regions made 384 of 759 calls of a day of 49 s with 23 nodes.
 const MIN_READERS: usize = 2;
 /// Nodes that a reader serves, itself included: the first messages to so many take as
 /// long as a follower waits for them, over a link of 10 Mbit/s.
