--- a/crates/linkhold-core/src/service/eligibility.rs
+++ b/crates/linkhold-core/src/service/eligibility.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementBinding {
     /// Not yet: another instance would do.
-    Free,
+    Unbound,
     /// Only this instance will do: it holds the transaction, or is the primary.
     Bound,
 }
@@ -47,7 +47,7 @@
     }
     match (standing.zone, engagement) {
         (ZoneState::InService, _) | (ZoneState::Emptying, StatementBinding::Bound) => Ok(()),
-        (ZoneState::Emptying, StatementBinding::Free) | (ZoneState::Closed, _) => {
+        (ZoneState::Emptying, StatementBinding::Unbound) | (ZoneState::Closed, _) => {
             Err(Ineligible::Evacuated)
         }
     }
--- a/crates/linkhold-core/tests/service_evacuation.rs
+++ b/crates/linkhold-core/tests/service_evacuation.rs
@@ -108,7 +108,7 @@
         let asked_at = learnt_at + milliseconds(asked_after);
         let zone = evacuations.state("a", asked_at);
         let standing = EligibilityFacts { is_in_regions: true, zone };
-        prop_assert_eq!(check(standing, StatementBinding::Free), Err(Ineligible::Evacuated));
+        prop_assert_eq!(check(standing, StatementBinding::Unbound), Err(Ineligible::Evacuated));
         let ends_at = learnt_at.max(acknowledged_at + BOUND * OPEN_WORK_PERCENT / 100);
         if asked_at >= ends_at {
             prop_assert_eq!(check(standing, StatementBinding::Bound), Err(Ineligible::Evacuated));
--- a/crates/linkhold-core/tests/service_regions.rs
+++ b/crates/linkhold-core/tests/service_regions.rs
@@ -117,7 +117,7 @@
     #[test]
     fn nothing_outside_is_eligible(state in 0..3, is_free in any::<bool>()) {
         let zone = [ZoneState::InService, ZoneState::Emptying, ZoneState::Closed][state as usize];
-        let engagement = if is_free { StatementBinding::Free } else { StatementBinding::Bound };
+        let engagement = if is_free { StatementBinding::Unbound } else { StatementBinding::Bound };
         let standing = EligibilityFacts { is_in_regions: false, zone };
         prop_assert_eq!(check(standing, engagement), Err(Ineligible::OutsideRegions));
     }
--- a/crates/linkhold-gateway/src/beliefs.rs
+++ b/crates/linkhold-gateway/src/beliefs.rs
@@ -380,7 +380,7 @@
         let has_warm_up = self.limits(service).is_some_and(|it| it.warm_up.is_some());
         let instances = lock(&self.instances);
         let may_run = |instance: &Instance| {
-            self.eligibility_in(&instances, instance, regions, StatementBinding::Free)
+            self.eligibility_in(&instances, instance, regions, StatementBinding::Unbound)
                 .is_ok()
         };
         let unknown = InstanceHealth::default();
--- a/crates/linkhold-gateway/src/beliefs/eligibility.rs
+++ b/crates/linkhold-gateway/src/beliefs/eligibility.rs
@@ -182,7 +182,7 @@
         }
         let mut barrier = None;
         for instance in instances.directory.instances(service) {
-            match self.eligibility_in(&instances, instance, regions, StatementBinding::Free) {
+            match self.eligibility_in(&instances, instance, regions, StatementBinding::Unbound) {
                 Ok(()) => return None,
                 // One that is evacuated stands in the regions: that is what is told.
                 Err(Ineligible::Evacuated) => barrier = Some(Ineligible::Evacuated),
@@ -203,7 +203,7 @@
     /// Whether an instance stands where a primary of its service should.
     pub fn is_well_placed(&self, instance: &Instance) -> bool {
         let regions = self.primary_regions(&instance.service);
-        self.eligibility(instance, &regions, StatementBinding::Free)
+        self.eligibility(instance, &regions, StatementBinding::Unbound)
             .is_ok()
     }
 
