--- a/crates/linkhold-core/src/service/eligibility.rs
+++ b/crates/linkhold-core/src/service/eligibility.rs
@@ -46,8 +46,8 @@
         return Err(Ineligible::OutsideRegions);
     }
     match (standing.zone, engagement) {
-        (ZoneState::InService, _) | (ZoneState::Emptying, StatementBinding::Bound) => Ok(()),
-        (ZoneState::Emptying, StatementBinding::Unbound) | (ZoneState::Closed, _) => {
+        (ZoneState::InService, _) | (ZoneState::Draining, StatementBinding::Bound) => Ok(()),
+        (ZoneState::Draining, StatementBinding::Unbound) | (ZoneState::Closed, _) => {
             Err(Ineligible::Evacuated)
         }
     }
--- a/crates/linkhold-core/src/service/evacuation.rs
+++ b/crates/linkhold-core/src/service/evacuation.rs
@@ -43,7 +43,7 @@
     /// Everything: it is not evacuated.
     InService,
     /// What is open, and the primary until another leads.
-    Emptying,
+    Draining,
     /// Nothing.
     Closed,
 }
@@ -165,7 +165,7 @@
     pub fn state(&self, zone: &str, now: Instant) -> ZoneState {
         match self.zones.get(zone) {
             None => ZoneState::InService,
-            Some(evacuation) if now < evacuation.open_work_until => ZoneState::Emptying,
+            Some(evacuation) if now < evacuation.open_work_until => ZoneState::Draining,
             Some(_) => ZoneState::Closed,
         }
     }
--- a/crates/linkhold-core/tests/service_evacuation.rs
+++ b/crates/linkhold-core/tests/service_evacuation.rs
@@ -132,7 +132,7 @@
         learnt_at,
     );
     let late = acknowledged_at + BOUND + milliseconds(500);
-    assert_eq!(evacuations.state("a", late), ZoneState::Emptying);
+    assert_eq!(evacuations.state("a", late), ZoneState::Draining);
 }
 
 #[test]
@@ -159,5 +159,5 @@
     assert_eq!(evacuations.state("a", much_later), ZoneState::InService);
     evacuations.confirm_as_of(much_later);
     evacuations.apply(at(4), evacuated(), BOUND, much_later);
-    assert_eq!(evacuations.state("a", much_later), ZoneState::Emptying);
+    assert_eq!(evacuations.state("a", much_later), ZoneState::Draining);
 }
--- a/crates/linkhold-core/tests/service_regions.rs
+++ b/crates/linkhold-core/tests/service_regions.rs
@@ -116,7 +116,7 @@
     /// What is outside is never eligible, whatever its zone's state.
     #[test]
     fn nothing_outside_is_eligible(state in 0..3, is_free in any::<bool>()) {
-        let zone = [ZoneState::InService, ZoneState::Emptying, ZoneState::Closed][state as usize];
+        let zone = [ZoneState::InService, ZoneState::Draining, ZoneState::Closed][state as usize];
         let engagement = if is_free { StatementBinding::Unbound } else { StatementBinding::Bound };
         let standing = EligibilityFacts { is_in_regions: false, zone };
         prop_assert_eq!(check(standing, engagement), Err(Ineligible::OutsideRegions));
