--- a/crates/linkhold-core/src/service/eligibility.rs
+++ b/crates/linkhold-core/src/service/eligibility.rs
@@ -1,29 +1,29 @@
-//! Whether a caller's statement may be sent to an instance at all. Placement,
-//! the choice of a primary and the last step before sending ask the same.
+//! Whether a caller's statement may be sent to an instance at all. Placement, the
+//! choice of a primary and the last step before sending all use this check.
 //!
 //! # Invariants
 //!
 //! * A request runs in a region that it allows, or nowhere.
-//! * An instance of an evacuated zone gets no new work, and nothing once the time
-//!   for open work has passed.
+//! * An instance of an evacuated zone gets no new work, and nothing once the time for
+//!   open work has passed.
 
 use thiserror::Error;
 
 use super::evacuation::ZoneState;
 
-/// How a statement is bound to an instance.
+/// Whether a statement is bound to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementBinding {
-    /// Not yet: another instance would do.
+    /// It is not: another instance can run it.
     Unbound,
-    /// Only this instance will do: it holds the transaction, or is the primary.
+    /// Only this instance can run it: it holds the transaction, or is the primary.
     Bound,
 }
 
 /// Why a statement may not be sent to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Ineligible {
-    /// The instance stands outside the regions that the request allows.
+    /// The instance is outside the regions that the request allows.
     #[error("outside the allowed regions")]
     OutsideRegions,
     /// The instance's zone is evacuated.
@@ -31,21 +31,21 @@
     Evacuated,
 }
 
-/// What decides.
+/// The facts that decide whether a statement may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EligibilityFacts {
     /// The instance's region is one that the request allows.
     pub is_in_regions: bool,
-    /// What the instance's zone allows.
+    /// State of the instance's zone.
     pub zone: ZoneState,
 }
 
-/// Whether a statement may be sent.
-pub fn check(standing: EligibilityFacts, engagement: StatementBinding) -> Result<(), Ineligible> {
-    if !standing.is_in_regions {
+/// Whether a statement may be sent to an instance.
+pub fn check(facts: EligibilityFacts, binding: StatementBinding) -> Result<(), Ineligible> {
+    if !facts.is_in_regions {
         return Err(Ineligible::OutsideRegions);
     }
-    match (standing.zone, engagement) {
+    match (facts.zone, binding) {
         (ZoneState::InService, _) | (ZoneState::Draining, StatementBinding::Bound) => Ok(()),
         (ZoneState::Draining, StatementBinding::Unbound) | (ZoneState::Closed, _) => {
             Err(Ineligible::Evacuated)
--- a/crates/linkhold-core/src/service/evacuation.rs
+++ b/crates/linkhold-core/src/service/evacuation.rs
@@ -2,14 +2,14 @@
 //!
 //! # Invariants
 //!
-//! * What is known never goes back: an older place in the store's changes changes
-//!   nothing ([`Evacuations::replace`], [`Evacuations::apply`]). A store that comes back
-//!   from an older copy may have lost an evacuation that it acknowledged: what is
-//!   evacuated stays so until that copy's own changes take it back, or for
-//!   [`LOST_EVACUATION_PERIOD`] if they never tell of it.
-//! * An evacuation was acknowledged after the last moment as of which this node
-//!   knew that there was none. Open work ends within [`OPEN_WORK_PERCENT`] of the
-//!   bound from that moment, however late the node learnt.
+//! * Knowledge never goes back: an older revision of the store changes nothing
+//!   ([`Evacuations::replace`], [`Evacuations::apply`]). A store that was restored from
+//!   an older copy may have lost an evacuation that it acknowledged: what is evacuated
+//!   stays so until changes in the new era take it back, or for
+//!   [`LOST_EVACUATION_PERIOD`] if they never mention it.
+//! * An evacuation was acknowledged after the last moment as of which this node knew
+//!   that there was none. Open work ends within [`OPEN_WORK_PERCENT`] of the bound from
+//!   that moment, however late the node learns of the evacuation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 /// Name of a zone.
 pub type ZoneName = Arc<str>;
 
-/// Part of the bound on evacuations in which open work may go on, in percent. The
-/// rest is for statements that are on their way to an instance.
+/// Part of the bound on evacuations in which open work may go on, in percent. The rest
+/// is for statements that are on their way to an instance.
 pub const OPEN_WORK_PERCENT: u32 = 40;
 
 /// How long an evacuation that the store has lost stays in force: operators have two
-/// minutes to ask for it again.
+/// minutes to request it again.
 pub const LOST_EVACUATION_PERIOD: Duration = Duration::from_secs(120);
 
 /// A zone that is evacuated.
@@ -33,16 +33,17 @@
 pub struct Evacuation {
     /// When this node learnt of it.
     pub learnt_at: Instant,
-    /// Until when what is open there may go on.
+    /// Until when open work may go on there.
     pub open_work_until: Instant,
 }
 
-/// What an evacuation allows at a zone's instances.
+/// What may be sent to a zone's instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneState {
-    /// Everything: it is not evacuated.
+    /// Everything: the zone is not evacuated.
     InService,
-    /// What is open, and the primary until another leads.
+    /// Statements of open work, and those for the primary until another instance is
+    /// primary.
     Draining,
     /// Nothing.
     Closed,
@@ -60,17 +61,17 @@
 /// All zones that are evacuated, as far as a node knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
-    /// Place in the store's changes up to which they are known.
+    /// Revision of the store up to which they are known.
     as_of: StoreRevision,
-    /// The last moment as of which they were vouched for.
-    vouched_at: Option<Instant>,
+    /// The last moment as of which they were confirmed.
+    confirmed_at: Option<Instant>,
     zones: BTreeMap<ZoneName, Evacuation>,
     /// Evacuations that the store has lost, and until when they stay in force.
     lost: BTreeMap<ZoneName, Instant>,
 }
 
 impl Evacuations {
-    /// Takes in all evacuated zones as of a place in the store's changes; what has
+    /// Takes in all evacuated zones as of a revision of the store; returns what has
     /// changed.
     pub fn replace(
         &mut self,
@@ -82,7 +83,7 @@
         let listed: Vec<ZoneName> = zones.into_iter().collect();
         self.lost.retain(|zone, _| !listed.contains(zone));
         if as_of.era() > self.as_of.era() {
-            self.keep_lost(&listed, now);
+            self.mark_lost(&listed, now);
         }
         let known = self.zones.keys();
         let withdrawn = known
@@ -94,7 +95,8 @@
         self.apply(as_of, changes, bound, now)
     }
 
-    /// Takes in changes up to a place in the store's changes; those that are news.
+    /// Takes in changes up to a revision of the store; returns those that were not
+    /// known.
     pub fn apply(
         &mut self,
         as_of: StoreRevision,
@@ -106,7 +108,7 @@
             return Vec::new();
         }
         self.as_of = as_of;
-        let is_news = |change: &EvacuationChange| match change {
+        let is_change = |change: &EvacuationChange| match change {
             EvacuationChange::Evacuated(zone) => {
                 self.lost.remove(zone);
                 self.evacuate(zone, bound, now)
@@ -116,18 +118,20 @@
                 self.zones.remove(zone).is_some()
             }
         };
-        changes.into_iter().filter(is_news).collect()
+        changes.into_iter().filter(is_change).collect()
     }
 
-    /// The store has come back from a copy that lists these zones alone.
-    fn keep_lost(&mut self, listed: &[ZoneName], now: Instant) {
+    /// Marks evacuations as lost after the store was restored from a copy that lists
+    /// only these zones.
+    fn mark_lost(&mut self, listed: &[ZoneName], now: Instant) {
         let lost = self.zones.keys().filter(|zone| !listed.contains(zone));
         for zone in lost {
             self.lost.insert(zone.clone(), now + LOST_EVACUATION_PERIOD);
         }
     }
 
-    /// Ends evacuations that the store has lost and nobody has asked for again; these.
+    /// Ends evacuations that the store has lost and that were not requested again in
+    /// time; returns these.
     pub fn expire_lost(&mut self, now: Instant) -> Vec<EvacuationChange> {
         let is_over = |(_, until): &(&ZoneName, &Instant)| now >= **until;
         let over: Vec<ZoneName> = self
@@ -150,18 +154,18 @@
         let open_work = bound * OPEN_WORK_PERCENT / 100;
         let evacuation = Evacuation {
             learnt_at: now,
-            open_work_until: self.vouched_at.map_or(now, |at| at + open_work),
+            open_work_until: self.confirmed_at.map_or(now, |at| at + open_work),
         };
         self.zones.insert(zone.clone(), evacuation);
         true
     }
 
-    /// What is known was true at a moment.
+    /// Confirms that the known evacuations were complete at a moment.
     pub fn confirm_as_of(&mut self, moment: Instant) {
-        self.vouched_at = self.vouched_at.max(Some(moment));
+        self.confirmed_at = self.confirmed_at.max(Some(moment));
     }
 
-    /// What is allowed at a zone's instances.
+    /// What may be sent to a zone's instances.
     pub fn state(&self, zone: &str, now: Instant) -> ZoneState {
         match self.zones.get(zone) {
             None => ZoneState::InService,
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Whether nothing is allowed there any more.
+    /// Whether nothing may be sent to a zone's instances any more.
     pub fn is_closed(&self, zone: &str, now: Instant) -> bool {
         self.state(zone, now) == ZoneState::Closed
     }
@@ -180,12 +184,12 @@
         self.zones.iter()
     }
 
-    /// Whether none is.
+    /// Whether no zone is evacuated.
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
 
-    /// Place in the store's changes up to which they are known.
+    /// Revision of the store up to which the evacuations are known.
     pub fn as_of(&self) -> StoreRevision {
         self.as_of
     }
--- a/crates/linkhold-core/src/service/placement.rs
+++ b/crates/linkhold-core/src/service/placement.rs
@@ -1,11 +1,11 @@
 //! Choice of the instance that serves a read.
 //!
-//! A replica that lacks what the read requires is no candidate until it may have
-//! caught up. Candidates are ordered by [`HealthRank`]: first those in good standing,
-//! then those that were full, then those that failed. Within a
-//! standing the one with the lowest expected time wins, where an instance in
-//! another region is charged [`REGION_PENALTY`]: bytes between regions are the
-//! dearest thing a read uses, and a wait of that length costs callers less.
+//! A replica that lacks what the read requires is no candidate until it may have caught
+//! up. Candidates are ordered by [`HealthRank`]: first healthy ones, then those that
+//! were busy, then cold ones, then those that failed. Within a rank the one with the
+//! lowest expected time wins, where an instance in another region is charged
+//! [`REGION_PENALTY`]: bytes between regions are the most expensive resource that a
+//! read uses, and a wait of that length costs callers less.
 
 use std::time::{Duration, Instant};
 
@@ -14,16 +14,16 @@
 use super::health::InstanceHealth;
 use super::instance::{Instance, InstanceId, Lifecycle};
 
-/// Expected wait that a nearer instance may have before a farther is taken.
+/// Additional expected time of a nearer instance at which a farther one is preferred.
 const ZONE_PENALTY: Duration = Duration::from_millis(15);
 /// As [`ZONE_PENALTY`], between regions.
 const REGION_PENALTY: Duration = Duration::from_millis(60);
 /// As [`ZONE_PENALTY`], at a primary.
 const PRIMARY_PENALTY: Duration = Duration::from_millis(40);
-/// Time of a statement on an instance that nothing is known of.
+/// Assumed time of a statement on an instance whose latency is not known.
 const ASSUMED_LATENCY: Duration = Duration::from_millis(20);
 
-/// How far an instance is from the node.
+/// Distance of an instance from the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same zone.
@@ -34,16 +34,16 @@
     Remote,
 }
 
-/// How well an instance has served lately; better ones come first.
+/// How healthy an instance has been lately; healthier ones come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthRank {
-    /// Nothing speaks against it.
+    /// No sign of a problem.
     Good,
-    /// It was full a moment ago.
+    /// It had no free slot a moment ago.
     Busy,
-    /// It says that it has just started, and takes few requests for now.
+    /// It reports that it has just started, and accepts few requests for now.
     Cold,
-    /// It is leaving, or a pause after a failure has passed and it may be tried.
+    /// It is leaving, or the pause after a failure has passed and it may be tried.
     Suspect,
 }
 
@@ -52,13 +52,13 @@
 pub struct Candidate<'a> {
     /// The instance.
     pub instance: &'a Instance,
-    /// What traffic tells of it.
+    /// Its health as observed from traffic.
     pub health: &'a InstanceHealth,
-    /// Whether it is believed to be the primary: only it can serve writes.
+    /// Whether it is the known primary: only the primary can serve writes.
     pub is_primary: bool,
-    /// How far it is.
+    /// Its distance from the node.
     pub distance: Distance,
-    /// It takes few requests for now.
+    /// It accepts few requests for now.
     pub is_cold: bool,
 }
 
@@ -94,18 +94,17 @@
     }
 }
 
-/// A choice.
+/// A chosen instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice<'a> {
-    /// The instance to ask.
+    /// The instance to send the read to.
     pub instance: &'a Instance,
-    /// No other candidate is left.
+    /// It is the only candidate left.
     pub is_last: bool,
 }
 
-/// The best candidate for a read that requires a position, and is not in
-/// `excluded`. One that failed a moment ago is left alone until its pause has
-/// passed.
+/// The best candidate for a read that requires a position, and is not in `excluded`. An
+/// instance that failed a moment ago is avoided until its pause has passed.
 pub fn choose<'a>(
     candidates: impl Iterator<Item = Candidate<'a>>,
     required: Position,
--- a/crates/linkhold-core/src/service/primary_placement.rs
+++ b/crates/linkhold-core/src/service/primary_placement.rs
@@ -1,17 +1,17 @@
-//! Where the primary of a service should stand.
+//! Regions in which the primary of a service should be.
 
 use crate::tenancy::Tenant;
 
 use super::configuration::{Configuration, Consistency, DatabaseName, Route};
 use super::regions::AllowedRegions;
 
-/// Where the primary of a service should stand: in regions that its routes allow,
-/// the more urgent ones first, and then its tenants, the larger ones first. What
-/// allows none of the regions that are left by then is passed over: wherever the
-/// primary stood, one of them could not write.
+/// Regions in which the primary of a service should be: those that its routes allow,
+/// the more urgent ones first, and then its tenants, the larger ones first. A route or
+/// tenant that allows none of the regions left by then is passed over: wherever the
+/// primary were, some route or tenant could not write.
 ///
-/// The answer depends on the configuration alone, so that all nodes give the same
-/// and a primary that stands right stays.
+/// The result depends on the configuration alone, so that all nodes compute the same
+/// and a primary in the right region stays.
 pub fn primary_regions(configuration: &Configuration, service: &str) -> AllowedRegions {
     let mut routes: Vec<(&DatabaseName, &Route)> = configuration
         .routes
@@ -25,30 +25,30 @@
     let of_tenants = tenants.iter().map(|tenant| &tenant.regions);
     of_routes
         .chain(of_tenants)
-        .fold(AllowedRegions::Everywhere, narrowed)
+        .fold(AllowedRegions::Everywhere, narrow)
 }
 
-/// The regions that are left with one more set, unless none would be.
-fn narrowed(left: AllowedRegions, set: &AllowedRegions) -> AllowedRegions {
+/// The remaining regions restricted to one more set, unless none would remain.
+fn narrow(left: AllowedRegions, set: &AllowedRegions) -> AllowedRegions {
     let shared = left.shared_with(set);
     if shared.is_empty() { left } else { shared }
 }
 
-/// Rank of a route among those that want a primary near: by priority, and those
-/// that only a primary serves before those whose reads replicas serve.
+/// Rank of a route for the choice of a primary's region: by priority, and routes that
+/// only a primary serves before those whose reads replicas serve.
 fn urgency(route: &Route) -> (u8, bool) {
     (route.priority, route.consistency != Consistency::Latest)
 }
 
-/// Tenants that are bound to regions, those that may ask most first.
+/// Tenants that are restricted to regions, those with the highest allowed rate first.
 fn tenants_by_size(configuration: &Configuration) -> Vec<&Tenant> {
     let tenants = configuration.tenancy.iter().flat_map(|it| it.tenants());
-    let mut bound: Vec<&Tenant> = tenants.filter(|it| it.regions.is_restricted()).collect();
-    bound.sort_by(|one, two| {
+    let mut restricted: Vec<&Tenant> = tenants.filter(|it| it.regions.is_restricted()).collect();
+    restricted.sort_by(|one, two| {
         let by_rate = allowed_rate(two).total_cmp(&allowed_rate(one));
         by_rate.then_with(|| one.name.cmp(&two.name))
     });
-    bound
+    restricted
 }
 
 fn allowed_rate(tenant: &Tenant) -> f64 {
--- a/crates/linkhold-core/src/service/regions.rs
+++ b/crates/linkhold-core/src/service/regions.rs
@@ -1,10 +1,10 @@
-//! Regions in which a request may be run, and seen by nodes other than the one
-//! its caller is connected to.
+//! Regions in which a request may be run, and seen by nodes other than the one its
+//! caller is connected to.
 //!
 //! # Invariant
 //!
-//! What a request's route and its tenant allow both bind: [`AllowedRegions::shared_with`]
-//! never allows a region that either of them does not.
+//! The regions of a request's route and those of its tenant both apply:
+//! [`AllowedRegions::shared_with`] never allows a region that either of them does not.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -13,18 +13,18 @@
 /// Name of a region.
 pub type RegionName = Arc<str>;
 
-/// Regions that a request may not leave.
+/// Regions to which a request is restricted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum AllowedRegions {
     /// It may be run anywhere.
     #[default]
     Everywhere,
-    /// It may be run in these alone.
+    /// It may be run only in these.
     Only(Arc<BTreeSet<RegionName>>),
 }
 
 impl AllowedRegions {
-    /// The regions that a configuration lists; none listed is no bound.
+    /// The regions that a configuration lists; an empty list is no restriction.
     pub fn listed(names: impl IntoIterator<Item = impl AsRef<str>>) -> Self {
         let names = names.into_iter().map(|name| Arc::from(name.as_ref()));
         let names: BTreeSet<RegionName> = names.collect();
@@ -40,7 +40,7 @@
         Self::Only(Arc::new(names))
     }
 
-    /// Whether a region is one of them.
+    /// Whether a region is allowed.
     pub fn permits(&self, region: &str) -> bool {
         match self {
             Self::Everywhere => true,
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Whether there is a bound at all.
+    /// Whether there is a restriction at all.
     pub fn is_restricted(&self) -> bool {
         matches!(self, Self::Only(_))
     }
 
-    /// Whether no region is left.
+    /// Whether no region is allowed.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Only(names) if names.is_empty())
     }
 
-    /// The names, in their order; none where there is no bound.
+    /// The names in their order; none if there is no restriction.
     pub fn names(&self) -> impl Iterator<Item = &RegionName> {
         let names = match self {
             Self::Everywhere => None,
@@ -67,8 +67,9 @@
         names.into_iter().flatten()
     }
 
-    /// The names as messages tell them, which [`AllowedRegions::listed`] reads: none is
-    /// everywhere, so what allows no region at all must not be told.
+    /// The names as messages carry them and [`AllowedRegions::listed`] reads them. An
+    /// empty list means everywhere, so regions that allow nothing must not be sent this
+    /// way.
     pub fn to_list(&self) -> Vec<String> {
         self.names().map(ToString::to_string).collect()
     }
@@ -76,7 +77,7 @@
     /// Regions that both allow.
     pub fn shared_with(&self, other: &Self) -> Self {
         match (self, other) {
-            (Self::Everywhere, bound) | (bound, Self::Everywhere) => bound.clone(),
+            (Self::Everywhere, restricted) | (restricted, Self::Everywhere) => restricted.clone(),
             (Self::Only(one), Self::Only(two)) => {
                 Self::exactly(one.intersection(two).cloned().collect())
             }
