--- a/crates/linkhold-core/src/service/configuration.rs
+++ b/crates/linkhold-core/src/service/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration in force: which database is served by which service, what
-//! its statements may expect, and who may ask.
+//! The configuration in force: which service serves which database, the guarantees and
+//! limits of its statements, and which callers may use it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     ReadYourWrites(Duration),
 }
 
-/// What holds for the statements of one database.
+/// Settings for the statements of one database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Service that holds the database.
@@ -41,7 +41,7 @@
     pub latency_objective: Duration,
     /// Rank in queues; 0 is the most urgent.
     pub priority: u8,
-    /// Callers need no credential.
+    /// Whether callers need no credential.
     pub is_public: bool,
     /// Regions in which its requests may be run.
     pub regions: AllowedRegions,
@@ -50,37 +50,38 @@
 /// Limits of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceLimits {
-    /// Most connections each instance takes from all nodes together.
+    /// Maximum number of connections that each instance accepts from all nodes
+    /// together.
     pub max_connections: usize,
     /// Replicas that must hold a commit before it is answered.
     pub synchronous_replicas: usize,
-    /// What cold instances may get; `None` is anything.
+    /// Limit for cold instances; `None` is unlimited.
     pub warm_up: Option<WarmUpLimit>,
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Version; rises with every change, in uneven steps.
+    /// Version; rises with every change, by steps of any size.
     pub version: u64,
     /// Routes by the name of the database.
     pub routes: HashMap<DatabaseName, Arc<Route>>,
     /// Services by name.
     pub services: HashMap<ServiceName, ServiceLimits>,
-    /// How long a transaction may stay idle; `None` is without end.
+    /// How long a transaction may stay idle; `None` is unlimited.
     pub transaction_idle_timeout: Option<Duration>,
     /// The tenants; `None` where callers are not told apart.
     pub tenancy: Option<Tenancy>,
 }
 
-/// What a caller may do now.
+/// Permissions of an admitted caller.
 #[derive(Clone, Debug)]
 pub struct Admitted {
     /// The route of its database.
     pub route: Arc<Route>,
-    /// Whose connections carry its statements.
+    /// Holder of the connections that carry its statements.
     pub holder: ConnectionHolder,
-    /// Regions in which they may be run, and seen by other nodes.
+    /// Regions in which its statements may be run, and seen by other nodes.
     pub regions: AllowedRegions,
 }
 
@@ -90,7 +91,7 @@
         self.routes.get(database)
     }
 
-    /// Whether a caller may use a database, and as whom.
+    /// Admits a caller to a database, or returns why it is refused.
     pub fn admit(
         &self,
         database: &str,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Whose connections carry the statements of a caller on a route.
+    /// Holder of the connections that carry a caller's statements on a route.
     pub fn holder(
         &self,
         route: &Route,
--- a/crates/linkhold-core/src/service/connection_share.rs
+++ b/crates/linkhold-core/src/service/connection_share.rs
@@ -1,59 +1,58 @@
 //! How many connections to an instance one node may hold.
 //!
-//! An instance bounds the connections of all callers together. Each node takes
-//! an equal part, less a reserve: connections of a node that lost power still
-//! stand for some seconds while its next life opens new ones.
+//! An instance limits the connections of all callers together. Each node takes an equal
+//! share, less a reserve: connections of a node that lost power still exist for some
+//! seconds while the restarted node opens new ones.
 //!
-//! Where nodes are so many that equal parts are of no use, few nodes hold the
-//! connections for all ([`super::owners`]).
+//! Where there are so many nodes that equal shares would be too small to be useful, a
+//! few nodes hold the connections for all ([`super::owners`]).
 
 use std::time::Duration;
 
 use super::owners;
 
-/// Connections below which a fair share is of no use: a transaction holds one
-/// for as long as its caller thinks.
-const LEAST_USEFUL: usize = 2;
-/// Connections that a node which is no owner may hold at a time.
-const WITHOUT_OWNER: usize = 3;
-/// How long such a node keeps a connection that it does not use: the fewer
-/// stand idle, the more nodes get one.
-const WITHOUT_OWNER_IDLE: Duration = Duration::from_millis(50);
+/// Connections below which an equal share is not useful: a transaction holds one for as
+/// long as its caller takes between statements.
+const MIN_USEFUL: usize = 2;
+/// Connections that a node which is not an owner may hold at a time.
+const NON_OWNER_LIMIT: usize = 3;
+/// How long such a node keeps an idle connection: the fewer are idle, the more nodes
+/// get one.
+const NON_OWNER_IDLE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Part of its share that an owner keeps open, as a divisor: where services are many, each is
-/// asked for less than once in the time after which an unused connection is closed, and two
-/// requests of three opened a new one. What stands after a loss of all nodes leaves room for
-/// three times as many.
+/// Divisor for the part of its share that an owner keeps open: where there are many
+/// services, each is used less than once in the time after which an idle connection is
+/// closed, and two requests of three opened a new one. The connections that still exist
+/// after a loss of all nodes leave room for three times as many.
 const KEPT_DIVISOR: usize = 4;
 
-/// What a node may hold to one instance.
+/// Connections that a node may hold to one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
     /// Connections at a time.
     pub limit: usize,
-    /// After which time without use one is closed; `None`: never.
+    /// Time without use after which a connection is closed; `None` is never.
     pub idle_for: Option<Duration>,
-    /// Connections that stay all the same, the last that were used.
+    /// Most recently used connections that stay open even when idle.
     pub kept: usize,
 }
 
-/// Whether so many nodes share a limit that connections cannot be held ready
-/// by each of them.
+/// Whether so many nodes share a limit that not each of them can keep connections open.
 pub fn is_crowded(limit: usize, nodes: usize) -> bool {
-    shared(limit) / nodes.max(1) < LEAST_USEFUL
+    shared(limit) / nodes.max(1) < MIN_USEFUL
 }
 
 /// The share of one of `nodes` nodes that all hold connections.
 pub fn equal(limit: usize, nodes: usize, has_just_started: bool) -> Share {
-    let most = if has_just_started {
+    let allowed = if has_just_started {
         of_starting_node(limit, nodes)
     } else {
         of_node(limit, nodes)
     };
     Share {
-        limit: most,
+        limit: allowed,
         idle_for: None,
-        kept: most,
+        kept: allowed,
     }
 }
 
@@ -67,11 +66,11 @@
     }
 }
 
-/// What a node may hold that is no owner: for when it finds none.
+/// The share of a node that is not an owner, for when it finds none.
 pub fn without_owner(limit: usize) -> Share {
     Share {
-        limit: WITHOUT_OWNER.min(limit),
-        idle_for: Some(WITHOUT_OWNER_IDLE),
+        limit: NON_OWNER_LIMIT.min(limit),
+        idle_for: Some(NON_OWNER_IDLE_TIMEOUT),
         kept: 0,
     }
 }
@@ -86,9 +85,9 @@
     (shared(limit) / nodes.max(1)).max(1)
 }
 
-/// The share of a node that has just started, while connections of its last
-/// life may still stand: its part of what is not shared out, at least one. A
-/// fleet that lost power as a whole stays within the limit.
+/// The share of a node that has just started, while connections from before its restart
+/// may still exist: its part of what is not shared out, at least one. So a fleet that
+/// lost power as a whole stays within the limit.
 pub fn of_starting_node(limit: usize, nodes: usize) -> usize {
     let nodes = nodes.max(1);
     let reserve = limit.saturating_sub(of_node(limit, nodes) * nodes);
--- a/crates/linkhold-core/src/service/instance.rs
+++ b/crates/linkhold-core/src/service/instance.rs
@@ -1,4 +1,4 @@
-//! Instances as they announce themselves.
+//! Instances and their announcements.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,28 +7,27 @@
 
 use super::configuration::ServiceName;
 
-/// Stands between an instance's name and the life that an identity is of.
+/// Separates an instance's name from the start time of its incarnation in an identity.
 pub const INCARNATION_SEPARATOR: char = '@';
 
-/// Identity of one life of an instance; never used again.
+/// Identity of one incarnation of an instance; never used again.
 ///
-/// An instance that starts again under its name holds nothing and knows nothing of
-/// before. Its new life is another identity, so that whatever was learnt of the old one
-/// ends with it.
+/// A restarted instance has lost its data and its state. Its new incarnation has
+/// another identity, so that whatever was known of the old one ends with it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId(pub Arc<str>);
 
 impl InstanceId {
-    /// The life that began at a moment, in Unix milliseconds, of the instance with a name;
-    /// the only one if the instance tells none.
-    pub fn of_incarnation(name: &str, born: Option<u64>) -> Self {
-        match born {
-            Some(born) => Self(format!("{name}{INCARNATION_SEPARATOR}{born}").into()),
+    /// The incarnation of a named instance that started at a moment, in Unix
+    /// milliseconds; the only one if the instance reports no start time.
+    pub fn of_incarnation(name: &str, started_at: Option<u64>) -> Self {
+        match started_at {
+            Some(started_at) => Self(format!("{name}{INCARNATION_SEPARATOR}{started_at}").into()),
             None => Self(name.into()),
         }
     }
 
-    /// The name that all lives of the instance share.
+    /// The name that all incarnations of the instance share.
     pub fn name(&self) -> &str {
         let parts = self.0.split_once(INCARNATION_SEPARATOR);
         parts.map_or(&self.0, |(name, _)| name)
@@ -41,7 +40,7 @@
     }
 }
 
-/// Role an instance gives itself.
+/// Role that an instance announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Takes writes.
@@ -55,27 +54,27 @@
 pub enum Lifecycle {
     /// In service.
     Ready,
-    /// Leaving: it finishes what it has.
+    /// Leaving: it finishes its open work.
     Draining,
 }
 
-/// What an instance announces about itself.
+/// An instance's announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
     /// Its identity.
     pub id: InstanceId,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it listens; may be used again by another instance later.
+    /// Address on which it listens; another instance may use it later.
     pub address: SocketAddr,
     /// Zone it runs in.
     pub zone: Arc<str>,
-    /// Statements it runs at once.
+    /// Number of statements that it runs at once.
     pub capacity: usize,
     /// Whether it takes new work.
     pub lifecycle: Lifecycle,
-    /// Role it gives itself.
+    /// Role that it announces.
     pub role: Role,
-    /// How much longer it is cold, as of when it wrote its entry.
+    /// Remaining warm-up time, as of when it wrote its entry.
     pub warm_up_left: Duration,
 }
--- a/crates/linkhold-core/src/service/mod.rs
+++ b/crates/linkhold-core/src/service/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions about services whose instances announce themselves: routes,
-//! instances, evidence of freshness, placement, session state and failover.
+//! Decisions about services and the instances that announce themselves for them:
+//! routes, instances, evidence of freshness, placement, session state and failover.
 
 pub mod concurrency;
 pub mod configuration;
--- a/crates/linkhold-core/src/service/session.rs
+++ b/crates/linkhold-core/src/service/session.rs
@@ -8,25 +8,25 @@
 /// Whether a statement changes data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Access {
-    /// Leaves data as it is.
+    /// It only reads data.
     Read,
-    /// May change data.
+    /// It may change data.
     Write,
 }
 
-/// What a prepared name stands for.
+/// A prepared statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Prepared {
     /// Whether executing it changes data.
     pub access: Access,
-    /// The statement's shape, unread by the proxy.
+    /// The statement's shape, which the proxy does not interpret.
     pub shape: Bytes,
 }
 
 /// Values set in a session, by name.
 pub type SessionValues = BTreeMap<Bytes, Bytes>;
 
-/// State that outlives a transaction.
+/// Session state that outlives a transaction.
 #[derive(Debug, Default)]
 pub struct SessionState {
     /// Values the caller has set.
@@ -35,7 +35,7 @@
     pub prepared: BTreeMap<Bytes, Prepared>,
 }
 
-/// Transaction as the caller sees it.
+/// Status of a transaction as the caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionStatus {
     /// None is open.
@@ -49,17 +49,16 @@
 /// How a transaction was begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransactionStart {
-    /// It only reads.
+    /// Whether it only reads.
     pub read_only: bool,
     /// When its first byte was known to have arrived.
     pub received_at: Instant,
 }
 
-/// What a connection to an instance must be told before it can run a
-/// statement of a session, and its state afterwards.
+/// Session state of a connection to an instance.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ConnectionState {
-    /// Values in force on the connection.
+    /// Values set on the connection.
     pub values: SessionValues,
     /// Statements prepared on it.
     pub prepared: Vec<Prepared>,
@@ -68,15 +67,16 @@
 /// Steps that bring a connection to a session's values.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ValueChanges {
-    /// Everything on the connection is to be dropped first.
+    /// Whether to discard everything on the connection first.
     pub discard: bool,
     /// Values to set, in this order.
     pub set: Vec<(Bytes, Bytes)>,
 }
 
 impl ConnectionState {
-    /// Brings the recorded values to `wanted`; returns the steps. A value can
-    /// be replaced but not removed, so a surplus one needs a discard.
+    /// Records that the connection gets the `wanted` values; returns the steps for
+    /// that. A value can be replaced but not removed, so a surplus one requires a
+    /// discard.
     pub fn adopt_values(&mut self, wanted: &SessionValues) -> ValueChanges {
         let discard = self.values.keys().any(|name| !wanted.contains_key(name));
         if discard {
@@ -92,8 +92,8 @@
         ValueChanges { discard, set }
     }
 
-    /// Number of a prepared statement on the connection and whether it has to
-    /// be prepared first.
+    /// Number of a prepared statement on the connection, and whether it has to be
+    /// prepared first.
     pub fn adopt_prepared(&mut self, wanted: &Prepared) -> (usize, bool) {
         if let Some(index) = self.prepared.iter().position(|known| known == wanted) {
             return (index, false);
