--- a/crates/linkhold-core/tests/service_directory.rs
+++ b/crates/linkhold-core/tests/service_directory.rs
@@ -1,4 +1,4 @@
-//! The directory of instances and the belief about primaries.
+//! The directory of instances and the known primaries.
 
 use std::time::{Duration, Instant};
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_announced_primary_is_believed_until_it_denies_or_another_announces() {
+fn an_announced_primary_is_known_until_it_denies_or_another_announces() {
     let now = Instant::now();
     let mut directory = Directory::default();
     directory.announce(ready("one", Role::Primary), now);
@@ -43,7 +43,7 @@
     assert_eq!(
         primary(&directory),
         None,
-        "a repeated announcement is old news"
+        "a repeated announcement changes nothing"
     );
     directory.announce(ready("two", Role::Primary), now);
     assert_eq!(primary(&directory).as_deref(), Some("two"));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_absence_while_the_directory_was_disturbed_proves_nothing_yet() {
+fn an_absence_while_the_directory_was_unreadable_does_not_count_yet() {
     let start = Instant::now();
     let mut directory = Directory::default();
     directory.announce(ready("one", Role::Replica), start);
@@ -83,8 +83,8 @@
     assert!(!directory.is_leaving(&one, later));
 }
 
-/// Entries that lapsed are back within about two seconds of the directory's
-/// return; what is still missing after that is gone.
+/// Expired entries are back within about two seconds of the directory's return; an
+/// instance that is still missing after that is gone.
 #[test]
 fn what_is_missing_two_seconds_and_a_half_after_the_return_is_gone() {
     let start = Instant::now();
@@ -104,9 +104,9 @@
     assert_eq!(directory.count_absent(late), 1);
 }
 
-/// A reader tells its followers nothing that it does not believe itself.
+/// A reader reports no absence to its followers that it does not count itself.
 #[test]
-fn an_entry_is_told_as_listed_until_its_absence_counts() {
+fn an_entry_is_reported_as_listed_until_its_absence_counts() {
     let start = Instant::now();
     let mut directory = Directory::default();
     directory.replace(vec![ready("one", Role::Primary)], Recency::Current, start);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_vanished_instance_is_forgotten_after_its_drain_time_only() {
+fn a_missing_instance_is_removed_after_its_drain_time_only() {
     let start = Instant::now();
     let mut directory = Directory::default();
     directory.replace(vec![ready("one", Role::Primary)], Recency::Current, start);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_whole_list_makes_what_it_lacks_vanish() {
+fn a_complete_list_marks_other_instances_as_missing() {
     let start = Instant::now();
     let mut directory = Directory::default();
     directory.announce(ready("one", Role::Primary), start);
@@ -178,10 +178,10 @@
     assert!(!directory.is_settled(start + Duration::from_secs(60)));
     directory.replace(vec![ready("two", Role::Replica)], Recency::Current, start);
     assert!(!directory.is_settled(start + Directory::SETTLING_TIME));
-    let calm = start + Directory::SETTLING_TIME + Duration::from_millis(1);
-    assert!(directory.is_settled(calm));
+    let settled_at = start + Directory::SETTLING_TIME + Duration::from_millis(1);
+    assert!(directory.is_settled(settled_at));
     directory.record_read_failure();
-    assert!(!directory.is_settled(calm + Directory::SETTLING_TIME * 2));
-    directory.record_read(calm);
-    assert!(!directory.is_settled(calm + Directory::SETTLING_TIME));
+    assert!(!directory.is_settled(settled_at + Directory::SETTLING_TIME * 2));
+    directory.record_read(settled_at);
+    assert!(!directory.is_settled(settled_at + Directory::SETTLING_TIME));
 }
--- a/crates/linkhold-core/tests/service_failover.rs
+++ b/crates/linkhold-core/tests/service_failover.rs
@@ -1,4 +1,4 @@
-//! Who may replace a primary, when, and in favour of whom.
+//! Which node may replace a primary, when, and which successor is promoted.
 
 use std::time::Duration;
 
@@ -38,9 +38,9 @@
 }
 
 proptest! {
-    /// Nodes claim at any times on a store that decides by row version: tokens
-    /// never repeat for another holder or successor, and no other node claims
-    /// within the lease.
+    /// Nodes claim at any times on a store that decides by row version: tokens never
+    /// repeat for another holder or successor, and no other node claims within the
+    /// lease.
     #[test]
     fn tokens_belong_to_one_holder_and_one_successor(
         claims in prop::collection::vec((0_u8..4, 0_u8..3, 0_u64..3_000), 1..60),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_lease_held_ready_promotes_one_successor_and_is_taken_over_from_the_gone_only() {
+fn a_lease_claimed_in_advance_promotes_one_successor_and_is_taken_over_once_its_holder_left() {
     let lease = claim_in_advance(None, "node-1", |_| true, at(1_000)).unwrap();
     assert_eq!(lease.token, 1);
     let later = 1_000 + LEASE.as_millis() as u64;
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn with_synchronous_replicas_enough_must_have_told_their_position() {
+fn with_synchronous_replicas_enough_must_have_reported_their_position() {
     assert_eq!(statuses_required(2, 0), 1);
     assert_eq!(statuses_required(2, 1), 2);
     assert_eq!(statuses_required(3, 2), 2);
@@ -188,26 +188,26 @@
     ));
 }
 
-/// Commits are not traded for a place: who has received more goes first; among
-/// equals one that is well placed, whichever identity it has.
+/// No commits are given up for a better region: the candidate that has received more
+/// goes first; among equals one in a primary region, whichever identity it has.
 #[test]
-fn a_well_placed_successor_goes_first_among_equals_alone() {
+fn a_successor_in_a_primary_region_goes_first_among_equals_only() {
     let at = |index| Position {
         term: Term(3),
         index,
     };
-    let mut misplaced = candidate("a", at(8), false);
-    misplaced.is_in_primary_region = false;
-    let equal = [misplaced.clone(), candidate("b", at(8), false)];
+    let mut outside_region = candidate("a", at(8), false);
+    outside_region.is_in_primary_region = false;
+    let equal = [outside_region.clone(), candidate("b", at(8), false)];
     let chosen = choose_successor(&equal, 0).unwrap();
     assert_eq!(chosen.status.id, id("b"));
-    let behind = [misplaced, candidate("b", at(7), false)];
+    let behind = [outside_region, candidate("b", at(7), false)];
     let chosen = choose_successor(&behind, 0).unwrap();
     assert_eq!(chosen.status.id, id("a"));
 }
 
-/// A new instance replaces one that leaves, and has received as much: as primary it
-/// could serve next to nothing.
+/// A new instance has received as much as the leaving primary that it could replace,
+/// but as a primary it could serve hardly any requests.
 #[test]
 fn a_cold_successor_is_passed_over_for_a_warm_one_that_is_close() {
     let at = |index| Position {
@@ -232,7 +232,7 @@
     assert_eq!(candidates.len(), 3);
 }
 
-/// All leases that nodes write who claim at any times for any successors.
+/// All leases that nodes write which claim at any times for any successors.
 fn written_leases(claims: &[(u8, u8, u64)]) -> Vec<FailoverLease> {
     let mut now = 1_000;
     let mut written: Vec<FailoverLease> = Vec::new();
@@ -248,10 +248,10 @@
 }
 
 proptest! {
-    /// Of any two leases of a holder of which one directly follows the other, nobody else
-    /// has claimed one in between.
+    /// If one of two leases of a holder directly follows the other, no other node has
+    /// claimed one in between.
     #[test]
-    fn nobody_has_claimed_between_leases_that_follow_each_other(
+    fn no_other_node_has_claimed_between_leases_that_follow_each_other(
         claims in prop::collection::vec((0_u8..3, 0_u8..3, 0_u64..6_000), 1..40),
     ) {
         let written = written_leases(&claims);
@@ -266,9 +266,9 @@
     }
 }
 
-/// The same with the check of tokens left out: the holder alone does not tell.
+/// The same without the check of tokens: an equal holder alone does not prove it.
 #[test]
-fn a_holder_that_claims_again_does_not_follow_another_ones_claim() {
+fn a_claim_does_not_directly_follow_one_before_another_holders_claim() {
     let pause = LEASE.as_millis() as u64 + 1;
     let written = written_leases(&[(0, 1, 0), (1, 2, pause), (0, 0, pause)]);
     assert_eq!(written.len(), 3);
--- a/crates/linkhold-core/tests/service_lead.rs
+++ b/crates/linkhold-core/tests/service_lead.rs
@@ -1,5 +1,5 @@
-//! Whether an instance that says it leads was replaced: its own word, that of the others and
-//! what the store keeps.
+//! Whether an instance that announces the primary role was replaced, by its own status,
+//! those of the others and the store's record.
 
 use linkhold_core::position::{Position, Term};
 use linkhold_core::service::failover::InstanceStatus;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_instance_that_is_alone_leads_if_nobody_was_ever_promoted() {
+fn an_instance_that_is_alone_is_primary_if_none_was_ever_promoted() {
     let alone = [status("one", Role::Primary, 1)];
     let verdict = verify_primary(&id("one"), &alone, &record(&[], None));
     assert_eq!(verdict, PrimaryVerdict::Leads);
@@ -45,7 +45,8 @@
     assert_eq!(verdict, PrimaryVerdict::Silent);
 }
 
-/// Both other instances were away: the first read of a node that started told old data.
+/// Both other instances were unavailable: the first read through a node that had just
+/// started returned old data.
 #[test]
 fn a_newer_term_that_was_proved_counts_while_all_others_are_away() {
     let alone = [status("one", Role::Primary, 1)];
@@ -61,29 +62,29 @@
         verify_primary(&id("one"), &alone, &claimed),
         PrimaryVerdict::Unknown
     );
-    let told = [alone[0].clone(), status("two", Role::Replica, 1)];
+    let reported = [alone[0].clone(), status("two", Role::Replica, 1)];
     assert_eq!(
-        verify_primary(&id("one"), &told, &claimed),
+        verify_primary(&id("one"), &reported, &claimed),
         PrimaryVerdict::Leads
     );
 }
 
-/// The successor started again with nothing: its word is that of another life.
+/// The successor restarted without its data: its status is that of another incarnation.
 #[test]
-fn another_life_of_a_claimed_successor_does_not_speak_for_it() {
-    let told = [
+fn another_incarnation_of_a_claimed_successor_does_not_count_for_it() {
+    let reported = [
         status("one", Role::Primary, 1),
         status("two@9", Role::Replica, 1),
     ];
     let claimed = record(&["two@7"], None);
     assert_eq!(
-        verify_primary(&id("one"), &told, &claimed),
+        verify_primary(&id("one"), &reported, &claimed),
         PrimaryVerdict::Unknown
     );
 }
 
 #[test]
-fn a_proof_is_news_once_and_ends_claims_that_take_no_effect_any_more() {
+fn a_proved_term_changes_the_record_once_and_ends_claims_without_effect() {
     let mut known = record(&["two", "three"], None);
     assert!(known.record_proved_term(Term(2), Some(&id("three"))));
     assert_eq!(known, record(&["three"], Some(2)));
@@ -93,10 +94,11 @@
     assert_eq!(known, record(&[], Some(2)));
 }
 
-/// A service's history: who was claimed for, promoted and proved, and who answers now.
+/// A service's history: the claims, and which instances answer in the end.
 #[derive(Clone, Debug)]
 struct History {
-    /// Each claim's successor, whether it was promoted, and whether its lead was proved.
+    /// Each claim's successor, whether it was promoted, and whether its term was
+    /// proved.
     claims: Vec<(usize, bool, bool)>,
     /// Which instances answer in the end.
     answers: [bool; 3],
@@ -111,71 +113,71 @@
     }
 }
 
-/// What the instances and the store hold after a history, and who leads. A replaced primary
-/// keeps its role and term, as one that is cut off does.
-fn played(history: &History) -> (Vec<InstanceStatus>, PromotionRecord, usize) {
+/// The statuses and the store's record after a history, and the primary. A replaced
+/// primary keeps its role and term, as one that is cut off does.
+fn replay(history: &History) -> (Vec<InstanceStatus>, PromotionRecord, usize) {
     let mut terms = [1_u64; 3];
-    let mut says_it_leads = [true, false, false];
-    let mut leader = 0;
+    let mut announces_primary = [true, false, false];
+    let mut primary = 0;
     let mut known = record(&[], None);
     for (successor, is_promoted, is_proved) in &history.claims {
         known.record_claim(&id(NAMES[*successor]));
-        if !is_promoted || *successor == leader {
+        if !is_promoted || *successor == primary {
             continue;
         }
-        leader = *successor;
-        terms[leader] = terms.iter().max().unwrap() + 1;
-        says_it_leads[leader] = true;
+        primary = *successor;
+        terms[primary] = terms.iter().max().unwrap() + 1;
+        announces_primary[primary] = true;
         if *is_proved {
-            known.record_proved_term(Term(terms[leader]), Some(&id(NAMES[leader])));
+            known.record_proved_term(Term(terms[primary]), Some(&id(NAMES[primary])));
         }
     }
-    let role = |index: usize| match says_it_leads[index] {
+    let role = |index: usize| match announces_primary[index] {
         true => Role::Primary,
         false => Role::Replica,
     };
     let answering = (0..NAMES.len()).filter(|index| history.answers[*index]);
     let statuses = answering.map(|index| status(NAMES[index], role(index), terms[index]));
-    (statuses.collect(), known, leader)
+    (statuses.collect(), known, primary)
 }
 
-/// Whether an instance other than the leader is taken for the leader.
-fn believes_a_replaced_primary(history: &History, looks_at_record: bool) -> bool {
-    let (statuses, known, leader) = played(history);
-    let known = if looks_at_record {
+/// Whether an instance other than the primary is accepted as primary.
+fn accepts_a_replaced_primary(history: &History, uses_record: bool) -> bool {
+    let (statuses, known, primary) = replay(history);
+    let known = if uses_record {
         known
     } else {
         PromotionRecord::default()
     };
-    let replaced = (0..NAMES.len()).filter(|index| *index != leader);
+    let replaced = (0..NAMES.len()).filter(|index| *index != primary);
     replaced
         .map(|index| verify_primary(&id(NAMES[index]), &statuses, &known))
         .any(|verdict| verdict == PrimaryVerdict::Leads)
 }
 
 proptest! {
-    /// Whoever answers, no replaced primary is taken for the leader.
+    /// Whichever instances answer, no replaced primary is accepted.
     #[test]
-    fn a_replaced_primary_is_never_taken_for_the_leader(history in histories()) {
-        prop_assert!(!believes_a_replaced_primary(&history, true));
+    fn a_replaced_primary_is_never_accepted(history in histories()) {
+        prop_assert!(!accepts_a_replaced_primary(&history, true));
     }
 
-    /// The leader is taken for it when all answer.
+    /// The primary is verified when all answer.
     #[test]
-    fn the_leader_is_believed_when_all_answer(history in histories()) {
+    fn the_primary_is_verified_when_all_answer(history in histories()) {
         let history = History { answers: [true; 3], ..history };
-        let (statuses, known, leader) = played(&history);
-        prop_assert_eq!(verify_primary(&id(NAMES[leader]), &statuses, &known), PrimaryVerdict::Leads);
+        let (statuses, known, primary) = replay(&history);
+        prop_assert_eq!(verify_primary(&id(NAMES[primary]), &statuses, &known), PrimaryVerdict::Leads);
     }
 }
 
-/// Without what the store keeps, the property above does not hold.
+/// Without the store's record, the property above does not hold.
 #[test]
-fn answers_alone_do_not_tell_a_replaced_primary() {
+fn answers_alone_do_not_reveal_a_replaced_primary() {
     let history = History {
         claims: vec![(1, true, true)],
         answers: [true, false, false],
     };
-    assert!(believes_a_replaced_primary(&history, false));
-    assert!(!believes_a_replaced_primary(&history, true));
+    assert!(accepts_a_replaced_primary(&history, false));
+    assert!(!accepts_a_replaced_primary(&history, true));
 }
--- a/crates/linkhold-core/tests/service_permission.rs
+++ b/crates/linkhold-core/tests/service_permission.rs
@@ -1,4 +1,4 @@
-//! How long a node may speak for primaries.
+//! How long a node may acknowledge for primaries.
 
 use std::time::{Duration, Instant};
 
@@ -54,38 +54,38 @@
 }
 
 #[test]
-fn a_node_that_comes_back_reads_the_leases_first() {
+fn a_returning_node_reads_the_leases_first() {
     let start = Instant::now();
     let mut permission = listed(start);
-    let back = start + ROW_EXPIRY;
+    let returned_at = start + ROW_EXPIRY;
     assert_eq!(
-        permission.record_renewal(back, back),
+        permission.record_renewal(returned_at, returned_at),
         RenewalOutcome::NeedsAdmission
     );
-    assert!(!permission.is_valid(back));
+    assert!(!permission.is_valid(returned_at));
     let claim = RecentClaim {
         service: SERVICE.into(),
         successor: Some(InstanceId("two".into())),
         age: milliseconds(1_000),
     };
-    permission.admit(back, &[claim], back);
+    permission.admit(returned_at, &[claim], returned_at);
     let two = InstanceId("two".into());
-    assert!(permission.may_acknowledge_for("other", &one(), back, Some(back)));
-    assert!(!permission.may_acknowledge_for(SERVICE, &one(), back, Some(back)));
-    // The successor leads: the replacement is over.
-    assert!(permission.may_acknowledge_for(SERVICE, &two, back, Some(back)));
-    let over = back + CLAIM_EFFECT_PERIOD - milliseconds(1_000);
+    assert!(permission.may_acknowledge_for("other", &one(), returned_at, Some(returned_at)));
+    assert!(!permission.may_acknowledge_for(SERVICE, &one(), returned_at, Some(returned_at)));
+    // The successor is primary: the replacement is over.
+    assert!(permission.may_acknowledge_for(SERVICE, &two, returned_at, Some(returned_at)));
+    let ends_at = returned_at + CLAIM_EFFECT_PERIOD - milliseconds(1_000);
     assert!(!permission.may_acknowledge_for(
         SERVICE,
         &one(),
-        over - milliseconds(1),
-        Some(over - milliseconds(1))
+        ends_at - milliseconds(1),
+        Some(ends_at - milliseconds(1))
     ));
-    assert!(permission.may_acknowledge_for(SERVICE, &one(), over, Some(over)));
+    assert!(permission.may_acknowledge_for(SERVICE, &one(), ends_at, Some(ends_at)));
 }
 
 #[test]
-fn a_lease_that_is_old_or_only_held_ready_bars_nothing() {
+fn a_lease_that_is_old_or_only_claimed_in_advance_blocks_nothing() {
     let start = Instant::now();
     let two = Some(InstanceId("two".into()));
     for (successor, age) in [(two, CLAIM_EFFECT_PERIOD), (None, Duration::ZERO)] {
@@ -113,7 +113,7 @@
     let last = start + LISTING_VALIDITY + EXPIRED_NODE_PERIOD;
     assert_eq!(permission.valid_until(), Some(last));
     assert!(last < start + ROW_EXPIRY + EXPIRED_NODE_PERIOD);
-    // What has run out does not come back.
+    // A permission that has run out is not restored.
     permission.record_confirmation(last);
     assert!(!permission.is_valid(last));
     let mut gap = listed(start);
@@ -122,17 +122,17 @@
 }
 
 #[test]
-fn a_consent_is_told_for_longer_than_others_rely_on_its_absence() {
+fn a_consent_is_reported_for_longer_than_others_rely_on_its_absence() {
     let start = Instant::now();
     let mut consents = Consents::default();
     assert!(consents.recent(start).is_empty());
     consents.agree("one", 1, start);
-    let told = consents.recent(start + CONSENT_RETENTION - milliseconds(1));
-    assert_eq!(told, ["one"]);
+    let reported = consents.recent(start + CONSENT_RETENTION - milliseconds(1));
+    assert_eq!(reported, ["one"]);
     let mut other = Consents::default();
-    assert!(!other.include_all(&told, start));
+    assert!(!other.include_all(&reported, start));
     other.agree("one", 1, start);
-    assert!(other.include_all(&told, start));
+    assert!(other.include_all(&reported, start));
     assert!(consents.recent(start + CONSENT_RETENTION).is_empty());
     assert!(CONFIRMATION_VALIDITY * 2 < CONSENT_RETENTION);
 }
@@ -140,17 +140,18 @@
 /// Nodes of a fleet in the property below; the last one replaces the primary.
 const NODES: usize = 5;
 
-/// One run: nodes that are cut off from the store at some moments, and from each other
-/// in two sides; the last node replaces the primary as soon as it may.
+/// One run: nodes are cut off from the store at some moments, and from each other in
+/// two sides; the last node replaces the primary as soon as it may.
 #[derive(Clone, Debug)]
 struct Run {
     /// When each node's last renewal was sent, in milliseconds.
     renewed: Vec<u64>,
-    /// Whether each is on the side of the node that replaces.
+    /// Whether each node is on the side of the node that replaces the primary.
     is_near: Vec<bool>,
-    /// Whether the far nodes reach those on the near side, but for the one that replaces.
+    /// Whether the far nodes reach those on the near side, except the one that replaces
+    /// the primary.
     reaches_near: bool,
-    /// How long each waits between questions.
+    /// Pause of each node between its questions, in milliseconds.
     pause: u64,
 }
 
@@ -172,7 +173,7 @@
         })
 }
 
-/// What is switched off.
+/// The part of the mechanism that is switched off.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Without {
     Nothing,
@@ -181,9 +182,9 @@
     OwnPermission,
 }
 
-/// The first moment at which a node on the far side still speaks for the primary after
-/// it was replaced, if there is one.
-fn speaks_after_replacement(run: &Run, without: Without) -> Option<u64> {
+/// The first moment at which a node on the far side still acknowledges for the primary
+/// after it was replaced, if there is one.
+fn acknowledges_after_replacement(run: &Run, without: Without) -> Option<u64> {
     let start = Instant::now();
     let at = |moment: u64| start + milliseconds(moment);
     let far: Vec<usize> = (0..NODES).filter(|node| !run.is_near[*node]).collect();
@@ -196,13 +197,13 @@
     for now in (0..120_000).step_by(50) {
         let age = |node: &usize| milliseconds(now).saturating_sub(milliseconds(run.renewed[*node]));
         if now % run.pause < 50 {
-            // Those of a side that may speak themselves confirm to each other.
-            let may_speak = |node: &&usize| permissions[**node].is_valid(at(now));
+            // Nodes of one side that have a permission confirm to each other.
+            let has_permission = |node: &&usize| permissions[**node].is_valid(at(now));
             let confirming_far = match without {
                 Without::OwnPermission => far.len(),
-                _ => far.iter().filter(may_speak).count(),
+                _ => far.iter().filter(has_permission).count(),
             };
-            // Near nodes stay listed, and tell once they have agreed.
+            // Near nodes stay listed, and report it once they have agreed.
             let confirms_near = run.reaches_near && agreed_at.is_none();
             let confirming = confirming_far + if confirms_near { near - 1 } else { 0 };
             for node in &far {
@@ -225,8 +226,8 @@
         if replaced_at.is_none() && agreed_at.is_some_and(|agreed| now >= agreed + wait) {
             replaced_at = Some(now);
         }
-        let speaks = far.iter().any(|node| permissions[*node].is_valid(at(now)));
-        if replaced_at.is_some() && speaks {
+        let acknowledges = far.iter().any(|node| permissions[*node].is_valid(at(now)));
+        if replaced_at.is_some() && acknowledges {
             return Some(now);
         }
     }
@@ -236,13 +237,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn no_node_speaks_for_a_primary_that_was_replaced_without_it(run in runs()) {
-        prop_assert_eq!(speaks_after_replacement(&run, Without::Nothing), None);
+    fn no_node_acknowledges_for_a_primary_that_was_replaced_without_it(run in runs()) {
+        prop_assert_eq!(acknowledges_after_replacement(&run, Without::Nothing), None);
     }
 }
 
-/// Four of five nodes lose the store and the other one, and confirm to each other. What
-/// each part of the rule is for shows when it is switched off.
+/// Four of five nodes lose the store and the other one, and confirm to each other.
+/// Switching off each part of the rule shows what it is for.
 #[test]
 fn two_sides_would_go_on_without_agreements_a_wait_or_permissions_of_those_who_confirm() {
     let run = |renewed: [u64; NODES], far: usize| Run {
@@ -254,19 +255,19 @@
     let four_far = run([0; NODES], 4);
     let one_far = run([0; NODES], 1);
     let apart = run([0, 0, 20_000, 0, 0], 4);
-    let heard = Run {
+    let reachable = Run {
         reaches_near: true,
         ..one_far.clone()
     };
-    for run in [&four_far, &one_far, &apart, &heard] {
-        assert_eq!(speaks_after_replacement(run, Without::Nothing), None);
+    for run in [&four_far, &one_far, &apart, &reachable] {
+        assert_eq!(acknowledges_after_replacement(run, Without::Nothing), None);
     }
-    assert!(speaks_after_replacement(&four_far, Without::Agreements).is_some());
-    assert!(speaks_after_replacement(&apart, Without::OwnPermission).is_some());
-    assert!(speaks_after_replacement(&heard, Without::Wait).is_some());
+    assert!(acknowledges_after_replacement(&four_far, Without::Agreements).is_some());
+    assert!(acknowledges_after_replacement(&apart, Without::OwnPermission).is_some());
+    assert!(acknowledges_after_replacement(&reachable, Without::Wait).is_some());
 }
 
-/// Whatever the fleet's size, those who confirm and those who agree share a node.
+/// Whatever the fleet's size, confirming and agreeing nodes share a node.
 #[test]
 fn confirmations_and_agreements_meet_in_fleets_of_any_size() {
     for nodes in 3..3_000 {
@@ -276,27 +277,32 @@
         }
         assert!(agreements_needed(nodes) <= nodes / 4 + 1);
     }
-    // One node that joins replaces nothing by itself.
+    // One joining node replaces nothing by itself.
     assert_eq!(confirmations_needed(2), None);
     assert!(agreements_needed(3 + 1) > 1);
 }
 
-/// A node that comes back may have missed a promotion: it needs the list of instances
-/// as of later.
+/// A node that returns may have missed a promotion: it needs the list of instances as
+/// of a later moment.
 #[test]
-fn a_node_that_comes_back_speaks_for_nobody_before_it_knows_the_instances() {
+fn a_returning_node_acknowledges_for_no_primary_before_it_knows_the_instances() {
     let start = Instant::now();
     let mut permission = listed(start);
     assert!(permission.may_acknowledge_for(SERVICE, &one(), start, None));
-    let back = start + ROW_EXPIRY;
-    permission.admit(back, &[], back);
-    assert!(!permission.may_acknowledge_for(SERVICE, &one(), back, None));
-    assert!(!permission.may_acknowledge_for(SERVICE, &one(), back, Some(back - milliseconds(1))));
-    assert!(permission.may_acknowledge_for(SERVICE, &one(), back, Some(back)));
+    let returned_at = start + ROW_EXPIRY;
+    permission.admit(returned_at, &[], returned_at);
+    assert!(!permission.may_acknowledge_for(SERVICE, &one(), returned_at, None));
+    assert!(!permission.may_acknowledge_for(
+        SERVICE,
+        &one(),
+        returned_at,
+        Some(returned_at - milliseconds(1))
+    ));
+    assert!(permission.may_acknowledge_for(SERVICE, &one(), returned_at, Some(returned_at)));
 }
 
 #[test]
-fn a_consent_ends_when_whoever_asked_orders_nothing() {
+fn a_consent_ends_when_its_question_is_released() {
     let start = Instant::now();
     let mut consents = Consents::default();
     consents.agree("one", 1, start);
@@ -307,9 +313,9 @@
     assert!(consents.recent(start).is_empty());
 }
 
-/// A zone of 24 of 71 nodes is cut from the store for 15 s; the 47 others see 47 nodes once
-/// those rows have expired. Then the 47 lose the store, and the 24 have it back: they
-/// count 71, the 47 among them as former nodes.
+/// A zone of 24 of 71 nodes is cut off from the store for 15 s; the 47 others see 47
+/// nodes once those rows have expired. Then the 47 lose the store, and the 24 reach it
+/// again: they count 71, the 47 among them as former nodes.
 #[test]
 fn those_who_confirm_and_those_who_agree_share_a_node_where_views_differ() {
     let start = Instant::now();
@@ -322,7 +328,7 @@
     let can_confirm = fleet - returned >= confirming;
     let can_agree = returned >= agreements_needed(fleet);
     assert!(can_agree && !can_confirm);
-    // Nobody counts the others any more.
-    let forgotten = start + ROW_EXPIRY + EXPIRED_NODE_PERIOD;
-    assert_eq!(sizes.largest(forgotten), fleet - returned);
+    // No node counts the others any more.
+    let expired_at = start + ROW_EXPIRY + EXPIRED_NODE_PERIOD;
+    assert_eq!(sizes.largest(expired_at), fleet - returned);
 }
--- a/crates/linkhold-core/tests/service_withholding.rs
+++ b/crates/linkhold-core/tests/service_withholding.rs
@@ -1,4 +1,4 @@
-//! What a node agrees to when a primary is about to be replaced.
+//! Withholding acknowledgements of a primary that is about to be replaced.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
     FAILURE_REUSE_PERIOD, ORDER_WINDOW, WITHHOLDING_PERIOD, Withholdings,
 };
 
-/// When the list of instances is known again, so late that a successor would be in it.
+/// When the list of instances is known again: so late that a successor would be in it.
 const KNOWN_LATER: Duration = WITHHOLDING_PERIOD.saturating_mul(2);
 
 #[test]
@@ -15,15 +15,15 @@
     let now = Instant::now();
     let [one, two] = ["one", "two"].map(|name| InstanceId(name.into()));
     let mut withholdings = Withholdings::default();
-    let holds = |withholdings: &Withholdings, id: &InstanceId, moment: Instant| {
+    let is_withheld = |withholdings: &Withholdings, id: &InstanceId, moment: Instant| {
         withholdings.is_withheld(id, moment, Some(now + KNOWN_LATER))
     };
-    assert!(!holds(&withholdings, &one, now));
+    assert!(!is_withheld(&withholdings, &one, now));
     withholdings.agree(&one, 1, now);
     let last = now + WITHHOLDING_PERIOD - Duration::from_millis(1);
-    assert!(holds(&withholdings, &one, last));
-    assert!(!holds(&withholdings, &two, last));
-    assert!(!holds(&withholdings, &one, now + WITHHOLDING_PERIOD));
+    assert!(is_withheld(&withholdings, &one, last));
+    assert!(!is_withheld(&withholdings, &two, last));
+    assert!(!is_withheld(&withholdings, &one, now + WITHHOLDING_PERIOD));
 }
 
 #[test]
@@ -39,7 +39,7 @@
     assert!(!withholdings.is_withheld(&one, later + WITHHOLDING_PERIOD, known));
 }
 
-/// Time alone tells nothing of whether the promotion took effect.
+/// Elapsed time alone does not show whether the promotion took effect.
 #[test]
 fn an_agreement_holds_until_a_successor_would_be_known() {
     let now = Instant::now();
@@ -52,8 +52,8 @@
     assert!(!withholdings.is_withheld(&one, later, Some(now + KNOWN_LATER)));
 }
 
-/// Whoever was asked counts from later than whoever asked: an order within its
-/// window takes effect while all of them still withhold.
+/// An agreeing node counts from a later moment than the asking node: an order within
+/// its window takes effect while all of them still withhold.
 #[test]
 fn an_order_has_time_to_take_effect_before_the_first_agreement_ends() {
     let longest_promotion = Duration::from_millis(1_500);
@@ -61,9 +61,9 @@
     assert!(FAILURE_REUSE_PERIOD < WITHHOLDING_PERIOD);
 }
 
-/// Whoever asked ends what it asked for, and nothing that others did.
+/// Releasing a question ends the agreement to it, and no agreement to other questions.
 #[test]
-fn an_agreement_ends_when_all_who_asked_order_nothing() {
+fn an_agreement_ends_when_all_its_questions_are_released() {
     let now = Instant::now();
     let one = InstanceId("one".into());
     let mut withholdings = Withholdings::default();
@@ -76,9 +76,9 @@
     assert!(!withholdings.is_withheld(&one, now, None));
 }
 
-/// A node that takes long to answer agrees after it was told that nothing is ordered.
+/// A node that takes long to answer agrees after the question was released.
 #[test]
-fn what_was_released_is_not_agreed_to_any_more() {
+fn a_released_question_is_not_agreed_to_any_more() {
     let now = Instant::now();
     let one = InstanceId("one".into());
     let mut withholdings = Withholdings::default();
