--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -5,7 +5,8 @@
 //! instance is warm by a connection of its own that has been open, and has answered,
 //! since the instance's entry said so: a restart would have broken it. While an owner
 //! does not know this, and while the instance is cold, only the first [`SENDERS`]
-//! owners in the order that all nodes share send, each within its share of the limit.
+//! owners in the order that all nodes share send, each within its share of
+//! [`WarmUpRules::max_requests`].
 //!
 //! # Invariants
 //!
@@ -16,8 +17,8 @@
 //!   leads. That connection has answered a question sent after the last doubt and
 //!   within [`ANSWER_VALIDITY`]. The connection on which the owner sends was opened
 //!   before that question was sent: a restart since then would have broken it as well.
-//! * What one node counts in any second is at most its share of the limit, and the
-//!   shares of all senders together are at most the limit.
+//! * What one node counts in any second is at most its share, and the shares of all
+//!   senders together are at most the maximum.
 //! * A node counts as a sender only while its view of the fleet is recent, and only
 //!   after the others had time to learn of it ([`may_send`]). So a node that was
 //!   frozen, cut off or restarted does not send in addition to the node that took its
@@ -43,7 +44,7 @@
 const JOINING_PERIOD: Duration = Duration::from_millis(10_000);
 /// How long requests that a node sent before its restart still count.
 const PREVIOUS_INCARNATION_PERIOD: Duration = Duration::from_millis(1_100);
-/// The limit counts in any second; the rest is for a clock that is read late.
+/// The maximum applies to any second; the rest is for a clock that is read late.
 const WINDOW: Duration = Duration::from_millis(1_020);
 /// Divisor for the part of a sender's requests that only urgent ones may use.
 const URGENT_DIVISOR: usize = 3;
--- a/crates/linkhold-core/tests/service_concurrency.rs
+++ b/crates/linkhold-core/tests/service_concurrency.rs
@@ -1,4 +1,4 @@
-//! How many statements a node may have under way at an instance.
+//! How many statements a node may have in flight at an instance.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,11 @@
         4,
         "no more than connections"
     );
-    assert_eq!(ConcurrencyLimit::new(0, 40).get(), 2, "nothing is told");
+    assert_eq!(
+        ConcurrencyLimit::new(0, 40).get(),
+        2,
+        "no capacity is announced"
+    );
 }
 
 #[test]
@@ -46,7 +50,7 @@
     })]
 
     #[test]
-    fn it_stays_between_one_and_the_connections(
+    fn the_limit_stays_between_one_and_the_connections(
         capacity in 0_usize..50,
         connections in 0_usize..50,
         events in prop::collection::vec(any::<bool>(), 0..300),
--- a/crates/linkhold-core/tests/service_eras.rs
+++ b/crates/linkhold-core/tests/service_eras.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from an older copy of itself: what was learnt in one era is
-//! neither taken for that of another, nor undone by it.
+//! A store that is restored from an older copy of itself: data of one era is neither
+//! taken for that of another, nor undone by it.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 
 const BOUND: Duration = Duration::from_millis(5_000);
 
-fn place(era: u32, count: u64) -> StoreRevision {
+fn revision(era: u32, count: u64) -> StoreRevision {
     StoreRevision::new(Era(era), count)
 }
 
@@ -29,18 +29,19 @@
 
 proptest! {
     #[test]
-    fn a_place_of_a_later_era_is_later_whatever_its_count(
+    fn a_revision_of_a_later_era_is_later_whatever_its_count(
         (first, second) in (0_u32..1_000, 0_u32..1_000),
         (one, two) in (0_u64..1 << 39, 0_u64..1 << 39),
     ) {
-        let (one, two) = (place(first, one), place(second, two));
+        let (one, two) = (revision(first, one), revision(second, two));
         prop_assert_eq!(one.cmp(&two), (first, one.count()).cmp(&(second, two.count())));
         prop_assert_eq!(StoreRevision::from_bits(one.to_bits()), one);
         prop_assert_eq!(one.era(), Era(first));
     }
 
-    /// The store is restored at any moments to any earlier state of a lease's row, while
-    /// nodes claim it: no token is handed out twice, and each is above all before it.
+    /// The store is restored at any moment to any earlier state of a lease's row, while
+    /// nodes claim it: no token is handed out twice, and each is above all earlier
+    /// ones.
     #[test]
     fn tokens_rise_across_restores(
         steps in prop::collection::vec((0_u8..4, 0_u8..3, 0_u64..6_000, any::<u16>()), 1..60),
@@ -71,8 +72,8 @@
     }
 }
 
-/// The property above with its mechanism switched off: in one era, a row that goes back
-/// hands a token out twice.
+/// The property above with its mechanism switched off: within one era, a row that goes
+/// back hands a token out twice.
 #[test]
 fn without_eras_a_token_would_be_handed_out_twice() {
     let time = |now| ClaimTime { now, era: Era(0) };
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_lease_of_an_earlier_era_is_held_ready_anew() {
+fn a_lease_of_an_earlier_era_is_claimed_in_advance_anew() {
     let time = |era| ClaimTime {
         now: 100_000,
         era: Era(era),
@@ -102,24 +103,24 @@
         now: time(2).now + milliseconds(LEASE),
         ..time(2)
     };
-    let renewed = claim_in_advance(Some(&held), "a", |_| true, later).unwrap();
-    assert!(renewed.token > held.token);
+    let replaced = claim_in_advance(Some(&held), "a", |_| true, later).unwrap();
+    assert!(replaced.token > held.token);
 }
 
 #[test]
-fn an_evacuation_that_the_store_lost_stays_in_force_until_it_is_asked_for_again() {
+fn an_evacuation_that_the_store_lost_stays_in_force_until_it_is_requested_again() {
     let start = Instant::now();
     let mut evacuations = Evacuations::default();
-    evacuations.replace(place(1, 50), zones(&["a"]), BOUND, start);
-    evacuations.replace(place(2, 40), zones(&[]), BOUND, start);
+    evacuations.replace(revision(1, 50), zones(&["a"]), BOUND, start);
+    evacuations.replace(revision(2, 40), zones(&[]), BOUND, start);
     let closed = start + BOUND;
     assert_eq!(evacuations.state("a", closed), ZoneState::Closed);
     // Read again within the new era, the list still lacks it.
-    evacuations.replace(place(2, 45), zones(&[]), BOUND, closed);
+    evacuations.replace(revision(2, 45), zones(&[]), BOUND, closed);
     assert_eq!(evacuations.state("a", closed), ZoneState::Closed);
-    // The operator asks again, and later takes it back.
+    // The operator requests it again, and later takes it back.
     evacuations.apply(
-        place(2, 46),
+        revision(2, 46),
         [EvacuationChange::Evacuated("a".into())],
         BOUND,
         closed,
@@ -130,7 +131,7 @@
             .is_empty()
     );
     evacuations.apply(
-        place(2, 47),
+        revision(2, 47),
         [EvacuationChange::TakenBack("a".into())],
         BOUND,
         closed,
@@ -139,33 +140,33 @@
 }
 
 #[test]
-fn an_evacuation_that_nobody_asks_for_again_ends() {
+fn a_lost_evacuation_that_is_not_requested_again_ends() {
     let start = Instant::now();
     let mut evacuations = Evacuations::default();
-    evacuations.replace(place(1, 50), zones(&["a"]), BOUND, start);
-    evacuations.replace(place(2, 40), zones(&[]), BOUND, start);
+    evacuations.replace(revision(1, 50), zones(&["a"]), BOUND, start);
+    evacuations.replace(revision(2, 40), zones(&[]), BOUND, start);
     assert!(
         evacuations
             .expire_lost(start + LOST_EVACUATION_PERIOD / 2)
             .is_empty()
     );
-    let over = evacuations.expire_lost(start + LOST_EVACUATION_PERIOD);
-    assert_eq!(over, [EvacuationChange::TakenBack("a".into())]);
+    let ended = evacuations.expire_lost(start + LOST_EVACUATION_PERIOD);
+    assert_eq!(ended, [EvacuationChange::TakenBack("a".into())]);
     assert_eq!(
         evacuations.state("a", start + LOST_EVACUATION_PERIOD),
         ZoneState::InService
     );
 }
 
-/// Two restores in a row, told through readers that are late.
+/// Two restores in a row, reported by readers that are late.
 #[test]
-fn what_is_told_late_of_an_earlier_era_changes_nothing() {
+fn late_changes_of_an_earlier_era_have_no_effect() {
     let start = Instant::now();
     let mut evacuations = Evacuations::default();
-    evacuations.replace(place(3, 10), zones(&["b"]), BOUND, start);
-    evacuations.replace(place(2, 900), zones(&["a"]), BOUND, start);
+    evacuations.replace(revision(3, 10), zones(&["b"]), BOUND, start);
+    evacuations.replace(revision(2, 900), zones(&["a"]), BOUND, start);
     evacuations.apply(
-        place(1, 999),
+        revision(1, 999),
         [EvacuationChange::TakenBack("b".into())],
         BOUND,
         start,
--- a/crates/linkhold-core/tests/service_evacuation.rs
+++ b/crates/linkhold-core/tests/service_evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that are evacuated: what a node knows, and when it sends nothing.
+//! Evacuated zones: what a node knows of them, and when it sends nothing to them.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -36,33 +36,34 @@
     evacuations.zones().map(|(zone, _)| zone.clone()).collect()
 }
 
-/// A place in the store's changes, in the only era.
+/// A revision of the store, in the only era.
 fn at(count: u64) -> StoreRevision {
     StoreRevision::new(Era::default(), count)
 }
 
 proptest! {
-    /// Whatever is told, in whatever order and how often (readers change, messages
-    /// are late or doubled), a node knows what the store listed at the latest place
-    /// that it was told of.
+    /// Whatever is reported, in whatever order and how often (readers change, messages
+    /// are late or duplicated), a node knows what the store listed at the latest
+    /// reported revision.
     #[test]
-    fn what_is_known_never_goes_back(
+    fn known_evacuations_never_go_back(
         changes in prop::collection::vec((0_usize..3, any::<bool>()), 1..20),
-        told in prop::collection::vec(0_usize..20, 1..40),
+        reported in prop::collection::vec(0_usize..20, 1..40),
     ) {
         let now = Instant::now();
         let history = history(&changes);
         let mut evacuations = Evacuations::default();
         let mut latest = 0;
-        for place in told {
-            let place = place % history.len();
-            evacuations.replace(at(place as u64), history[place].clone(), BOUND, now);
-            latest = latest.max(place);
+        for revision in reported {
+            let revision = revision % history.len();
+            evacuations.replace(at(revision as u64), history[revision].clone(), BOUND, now);
+            latest = latest.max(revision);
             prop_assert_eq!(&known(&evacuations), &history[latest]);
         }
     }
 
-    /// Read whole once and followed from there, it is what the store lists.
+    /// Read completely once and followed from there, the known zones are those that the
+    /// store lists.
     #[test]
     fn following_changes_leads_to_what_is_listed(
         changes in prop::collection::vec((0_usize..3, any::<bool>()), 1..20),
@@ -85,42 +86,42 @@
         prop_assert_eq!(known(&evacuations), history.last().unwrap().clone());
     }
 
-    /// A node hears at any moments that nothing is evacuated, until the evacuation
-    /// is acknowledged, and learns of it at any later one, however late. Nothing is
-    /// sent from `OPEN_WORK_PERCENT` of the bound after the acknowledgement on, or
-    /// from when it learnt if that is later; nothing new is ever sent once it knows.
+    /// A node learns at any moments that nothing is evacuated, until the evacuation is
+    /// acknowledged, and learns of it at any later one, however late. Nothing is sent
+    /// from `OPEN_WORK_PERCENT` of the bound after the acknowledgement on, or from when
+    /// the node learnt of it if that is later; nothing new is ever sent once it knows.
     #[test]
     fn open_work_ends_in_time_however_late_a_node_learns(
-        vouched in prop::collection::vec(0_u64..10_000, 0..10),
+        confirmed in prop::collection::vec(0_u64..10_000, 0..10),
         acknowledged in 10_000_u64..12_000,
         learnt_after in 0_u64..20_000,
         asked_after in 0_u64..20_000,
     ) {
         let start = Instant::now();
         let mut evacuations = Evacuations::default();
-        for moment in vouched {
+        for moment in confirmed {
             evacuations.confirm_as_of(start + milliseconds(moment));
         }
         let acknowledged_at = start + milliseconds(acknowledged);
         let learnt_at = acknowledged_at + milliseconds(learnt_after);
-        let news = evacuations.apply(at(7), [EvacuationChange::Evacuated("a".into())], BOUND, learnt_at);
-        prop_assert_eq!(news.len(), 1);
+        let new_changes = evacuations.apply(at(7), [EvacuationChange::Evacuated("a".into())], BOUND, learnt_at);
+        prop_assert_eq!(new_changes.len(), 1);
         let asked_at = learnt_at + milliseconds(asked_after);
         let zone = evacuations.state("a", asked_at);
-        let standing = EligibilityFacts { is_in_regions: true, zone };
-        prop_assert_eq!(check(standing, StatementBinding::Unbound), Err(Ineligible::Evacuated));
+        let facts = EligibilityFacts { is_in_regions: true, zone };
+        prop_assert_eq!(check(facts, StatementBinding::Unbound), Err(Ineligible::Evacuated));
         let ends_at = learnt_at.max(acknowledged_at + BOUND * OPEN_WORK_PERCENT / 100);
         if asked_at >= ends_at {
-            prop_assert_eq!(check(standing, StatementBinding::Bound), Err(Ineligible::Evacuated));
+            prop_assert_eq!(check(facts, StatementBinding::Bound), Err(Ineligible::Evacuated));
         }
         prop_assert_eq!(evacuations.state("b", asked_at), ZoneState::InService);
     }
 }
 
-/// The property above with its mechanism switched off: a node that is taken to
-/// have heard just now gives open work time from when it learnt.
+/// The property above with its mechanism switched off: a node whose knowledge counts as
+/// confirmed just now gives open work time from when it learnt of the evacuation.
 #[test]
-fn counting_from_when_a_node_learnt_would_be_late() {
+fn counting_from_when_a_node_learnt_would_end_open_work_late() {
     let acknowledged_at = Instant::now();
     let learnt_at = acknowledged_at + milliseconds(4_000);
     let mut evacuations = Evacuations::default();
@@ -142,7 +143,7 @@
     let evacuated = || [EvacuationChange::Evacuated("a".into())];
     evacuations.confirm_as_of(start);
     evacuations.apply(at(1), evacuated(), BOUND, start);
-    // Told twice, it is no news.
+    // Reported again, it is no change.
     assert!(
         evacuations
             .apply(at(2), evacuated(), BOUND, start)
--- a/crates/linkhold-core/tests/service_evidence.rs
+++ b/crates/linkhold-core/tests/service_evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence of freshness: a fence covers all that was acknowledged before.
+//! Evidence of freshness: a fence covers everything that was acknowledged before.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
     Pass(u64),
     /// The primary acknowledges a commit.
     Commit,
-    /// A question is sent and answered after some time and commits.
+    /// A question is sent, and answered after some time and some commits.
     Observe { answered_after: u64, commits: u64 },
     /// The primary is replaced; the new one lacks this many commits.
     Replace { undone: u64 },
--- a/crates/linkhold-core/tests/service_evidence_terms.rs
+++ b/crates/linkhold-core/tests/service_evidence_terms.rs
@@ -1,16 +1,16 @@
-//! Evidence of two terms, as it comes while a primary that was replaced goes on
-//! leading where it is cut off.
+//! Evidence of two terms, as collected while a replaced primary still acts as primary
+//! where it is cut off.
 //!
-//! Evidence of an older term is not used once a newer one is known, but the log
-//! forgets the newer one: a sample that lies less than 40 ms behind the one before it
-//! gives way to the next, of whatever term, and of 128 samples the oldest goes. After
-//! places 5 of term 1, 6 of term 2 and 9 of term 1, 10 ms apart, the log held
+//! Guards against a log that forgets the newer term: samples less than 40 ms apart
+//! replaced one another whatever their terms, and the oldest of 128 samples was
+//! dropped. After positions 5 of term 1, 6 of term 2 and 9 of term 1, 10 ms apart, the
+//! log held
 //!
 //! ```text
 //! [(0 ms, Position { term: Term(1), index: 5 }), (20 ms, Position { term: Term(1), index: 9 })]
 //! ```
 //!
-//! and gave place 9 of term 1 as what a read has to wait for.
+//! and required reads to wait for position 9 of term 1.
 
 use std::time::{Duration, Instant};
 
@@ -24,10 +24,10 @@
     }
 }
 
-/// A replaced primary that leads on where it is cut off answers right after the
-/// new one.
+/// A replaced primary that still acts as primary where it is cut off answers right
+/// after the new one.
 #[test]
-fn an_answer_of_an_older_term_takes_no_newer_ones_place() {
+fn an_answer_of_an_older_term_does_not_replace_a_newer_one() {
     let start = Instant::now();
     let mut evidence = EvidenceLog::default();
     evidence.record(sample(start, 0, 1, 5));
@@ -39,9 +39,9 @@
     assert_eq!(newest, Some(Position::new(2, 6)));
 }
 
-/// The same where it goes on to answer for longer than samples are kept.
+/// The same where it goes on answering for longer than samples are kept.
 #[test]
-fn many_answers_of_an_older_term_take_no_newer_ones_place() {
+fn many_answers_of_an_older_term_do_not_replace_a_newer_one() {
     let start = Instant::now();
     let mut evidence = EvidenceLog::default();
     evidence.record(sample(start, 0, 2, 6));
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -8,17 +8,17 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// A call to the store.
+/// Duration of a call to the store.
 const CALL: Duration = Duration::from_millis(30);
 
-/// What a reader is to a node at some moment.
+/// State of a reader as a node sees it at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reader {
-    /// It is dead, frozen or cut off in either direction.
+    /// It has stopped, is frozen, or is cut off in either direction.
     Silent,
-    /// It lives and has lost the store.
+    /// It runs and has lost the store.
     Stale,
-    /// It lives and reads the store.
+    /// It runs and reads the store.
     Fresh,
 }
 
@@ -31,7 +31,7 @@
     readers: usize,
     can_serve: bool,
     random: StdRng,
-    looks: Vec<Instant>,
+    store_checks: Vec<Instant>,
 }
 
 /// How a search ended.
@@ -48,13 +48,13 @@
         Self {
             search: ReaderSearch::default(),
             now,
-            // Silence is found out when trust ends.
+            // Silence is detected when trust ends.
             trusted_until: now,
             freshness,
             readers,
             can_serve: true,
             random: StdRng::seed_from_u64(seed),
-            looks: Vec::new(),
+            store_checks: Vec::new(),
         }
     }
 
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Searches until `end`; readers and the store are asked what they are at a
-    /// moment.
+    /// Searches until `end`. `reader` and `store_answers` give the state of a reader
+    /// and of the store at a moment.
     fn search(
         &mut self,
         end: Instant,
@@ -83,7 +83,7 @@
                 (Step::Read, _) => return Some(End::Reads),
                 (Step::CheckStore, _) => {
                     self.now += CALL;
-                    self.looks.push(self.now);
+                    self.store_checks.push(self.now);
                     let draw = self.random.random();
                     let answered = store_answers(self.now);
                     let situation = self.situation();
@@ -104,7 +104,8 @@
         }
     }
 
-    /// A try fails; one of a silent reader ends at its time-out, or at `limit`.
+    /// Records a failed attempt; with a silent reader it ends at its timeout, or at
+    /// `limit`.
     fn fail(&mut self, found: Reader, limit: Instant) {
         self.now = match found {
             Reader::Silent => limit.min(self.now + self.freshness.first_message_timeout()),
@@ -130,8 +131,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// All readers are silent or have lost the store, which answers this node:
-    /// what it knew last is as old as its trust when the search begins.
+    /// All readers are silent or have lost the store, which answers this node: its data
+    /// is as old as the trust period when the search begins.
     #[test]
     fn a_node_that_the_store_answers_reads_it_within_the_bound(
         bound_ms in 4_000_u64..13_000,
@@ -140,15 +141,15 @@
     ) {
         let bound = Duration::from_millis(bound_ms);
         let mut node = Node::new(bound, readers.len(), seed);
-        let trust = node.freshness.trust_period;
+        let trust_period = node.freshness.trust_period;
         let start = node.now;
         let end = node.search(start + bound * 2, |index, _| readers[index], |_| true);
         prop_assert_eq!(end, Some(End::Reads));
-        let age = trust + (node.now - start) + CALL * 2;
+        let age = trust_period + (node.now - start) + CALL * 2;
         prop_assert!(age <= bound, "{:?} of {:?}", age, bound);
     }
 
-    /// One reader lives: the store is not asked, or only before its turn came.
+    /// One reader runs: the node follows it, and does not check the store.
     #[test]
     fn a_node_follows_a_reader_that_lives_before_it_reads_the_store(
         mut readers in proptest::collection::vec(any_reader(), 1..5),
@@ -163,7 +164,7 @@
         let start = node.now;
         let end = node.search(start + 20 * SECOND, |index, _| readers[index], |_| true);
         prop_assert_eq!(end, Some(End::Followed));
-        prop_assert!(node.looks.is_empty());
+        prop_assert!(node.store_checks.is_empty());
     }
 
     /// In two outages 295 nodes made 6,000 to 7,000 calls.
@@ -180,7 +181,7 @@
         let end = node.search(start + 2 * outage + 30 * SECOND, reader, |now| now >= back);
         prop_assert_eq!(end, Some(End::Followed));
         let most = 2 + outage_s as usize / 2;
-        prop_assert!(node.looks.len() <= most, "{} looks in {outage_s} s", node.looks.len());
+        prop_assert!(node.store_checks.len() <= most, "{} store checks in {outage_s} s", node.store_checks.len());
     }
 }
 
@@ -192,10 +193,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// The store turned away seven nodes of ten, all readers among them. One of
-    /// the others had looked in vain before, waited for its next look with a
-    /// reader that had lost the store, and missed a change for seven seconds
-    /// after the store served it again (grown site, `store-some`, seed 11).
+    /// The store rejected seven nodes of ten, all readers among them. One of the others
+    /// had checked the store in vain before, waited for its next check with a reader
+    /// that had lost the store, and missed a change for seven seconds after the store
+    /// answered it again (grown site, `store-some`, seed 11).
     #[test]
     fn a_node_that_the_store_serves_again_reads_it_soon(
         bound_ms in 4_000_u64..13_000,
@@ -214,8 +215,8 @@
     }
 }
 
-/// Readers find out that the store is back within a second; followers that look
-/// just then must not all go over to the store.
+/// Readers find out within a second that the store is back; followers that check the
+/// store just then must not all go over to the store.
 #[test]
 fn readers_have_time_to_find_the_store_back() {
     const BACK_AFTER: Duration = Duration::from_millis(600);
--- a/crates/linkhold-core/tests/service_owners.rs
+++ b/crates/linkhold-core/tests/service_owners.rs
@@ -1,4 +1,4 @@
-//! Which nodes own the connections to an instance, and how many each.
+//! Which nodes own the connections to an instance, and how many each may hold.
 
 use linkhold_core::membership::NodeId;
 use linkhold_core::service::instance::InstanceId;
@@ -22,11 +22,11 @@
     for instance in ["one", "two", "three"] {
         let before = chosen(&all, instance);
         assert_eq!(before.len(), owners::OWNERS_PER_INSTANCE);
-        for gone in &all {
-            let left: Vec<NodeId> = all.iter().copied().filter(|it| it != gone).collect();
+        for departed in &all {
+            let left: Vec<NodeId> = all.iter().copied().filter(|it| it != departed).collect();
             let after = chosen(&left, instance);
             let kept = before.iter().filter(|owner| after.contains(owner)).count();
-            let expected = owners::OWNERS_PER_INSTANCE - usize::from(before.contains(gone));
+            let expected = owners::OWNERS_PER_INSTANCE - usize::from(before.contains(departed));
             assert_eq!(kept, expected);
         }
     }
@@ -73,7 +73,7 @@
     }
 
     #[test]
-    fn what_owners_share_leaves_room_for_questions(limit in 8_usize..500, count in 1_usize..=4) {
+    fn shares_of_owners_leave_room_for_status_questions(limit in 8_usize..500, count in 1_usize..=4) {
         let held = connection_share::of_owner(limit, count).limit * count;
         prop_assert!(held < limit, "{held} of {limit}");
         // Rounding leaves less than one connection of each owner unused.
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -42,7 +42,7 @@
     choose(candidates, REQUIRED, &[], now).map(|choice| choice.instance.id.clone())
 }
 
-/// What reads require here.
+/// The position that reads require here.
 const REQUIRED: Position = Position {
     term: Term(2),
     index: 10,
@@ -52,12 +52,12 @@
 fn the_nearest_serves_until_it_is_slow_busy_behind_or_failing() {
     let now = Instant::now();
     let (near, far) = (instance("near"), instance("far"));
-    let well = InstanceHealth::default();
+    let healthy = InstanceHealth::default();
     let pick = |health: &InstanceHealth| {
         chosen(
             [
                 (&near, health, Distance::Zone),
-                (&far, &well, Distance::Remote),
+                (&far, &healthy, Distance::Remote),
             ],
             now,
         )
@@ -65,7 +65,7 @@
         .0
         .to_string()
     };
-    assert_eq!(pick(&well), "near");
+    assert_eq!(pick(&healthy), "near");
     let mut slow = InstanceHealth::default();
     slow.record_success(now, Duration::from_millis(900));
     assert_eq!(pick(&slow), "far");
@@ -110,10 +110,10 @@
         for nodes in 1..=limit * 60 / 100 {
             assert!(connection_share::of_node(limit, nodes) * nodes <= limit);
             let restarted = connection_share::of_starting_node(limit, nodes);
-            let standing = connection_share::of_node(limit, nodes);
-            assert!(restarted >= 1 && restarted <= standing);
+            let steady = connection_share::of_node(limit, nodes);
+            assert!(restarted >= 1 && restarted <= steady);
             if nodes * 2 <= limit {
-                assert!((restarted + standing) * nodes <= limit, "{limit} {nodes}");
+                assert!((restarted + steady) * nodes <= limit, "{limit} {nodes}");
             }
         }
         assert_eq!(connection_share::of_node(limit, 10_000), 1);
@@ -126,22 +126,22 @@
     assert!(!connection_share::is_crowded(50, 15));
     assert!(connection_share::is_crowded(50, 16));
     assert!(connection_share::is_crowded(36, 300));
-    let standing = connection_share::equal(36, 7, false);
-    assert_eq!((standing.limit, standing.idle_for), (3, None));
+    let steady = connection_share::equal(36, 7, false);
+    assert_eq!((steady.limit, steady.idle_for), (3, None));
     assert_eq!(connection_share::equal(36, 7, true).limit, 2);
     let others = connection_share::without_owner(36);
     assert_eq!(others.limit, 3);
     let owner = connection_share::of_owner(36, 4);
     assert!(owner.limit > others.limit && owner.idle_for > others.idle_for);
-    // What owners keep open leaves room for the next lives of all of them.
+    // Connections that owners keep open leave room for restarts of all of them.
     assert!(owner.kept > 0 && owner.kept * 2 < owner.limit);
     assert_eq!(others.kept, 0);
     assert_eq!(connection_share::without_owner(1).limit, 1);
 }
 
-/// A replica that is behind is not asked again before it may have caught up, the
-/// later the longer it has been behind; one that is known to hold what is
-/// required is.
+/// A replica that is behind is not asked again before it may have caught up, the later
+/// the longer it has been behind; one that is known to hold the required position is
+/// asked.
 #[test]
 fn a_replica_that_lacks_a_position_is_left_alone_until_it_may_have_it() {
     let now = Instant::now();
@@ -154,7 +154,7 @@
     behind.record_lag(now);
     behind.record_position(older);
     assert!(behind.lacks(REQUIRED, now));
-    assert!(!behind.lacks(older, now), "it holds that");
+    assert!(!behind.lacks(older, now), "it has that position");
     let soon = now + Duration::from_millis(100);
     assert!(!behind.lacks(REQUIRED, soon), "it is tried again");
     let late = now + Duration::from_secs(1);
@@ -164,20 +164,23 @@
     behind.record_position(REQUIRED);
     assert!(!behind.lacks(REQUIRED, late));
     behind.record_lag(late);
-    assert!(behind.lacks(REQUIRED, late), "what it held was rolled back");
+    assert!(
+        behind.lacks(REQUIRED, late),
+        "the known position was rolled back"
+    );
     behind.record_fresh_read();
     assert!(!behind.lacks(REQUIRED, late));
 }
 
 #[test]
-fn the_last_candidate_is_told_to_be_the_last() {
+fn the_last_candidate_is_marked_as_the_last() {
     let now = Instant::now();
     let (primary, replica) = (instance("primary"), instance("replica"));
-    let well = InstanceHealth::default();
+    let healthy = InstanceHealth::default();
     let mut behind = InstanceHealth::default();
     behind.record_lag(now);
     let is_last = |health: &InstanceHealth| {
-        let candidates = [(&primary, &well, true), (&replica, health, false)];
+        let candidates = [(&primary, &healthy, true), (&replica, health, false)];
         let candidates = candidates
             .into_iter()
             .map(|(instance, health, is_primary)| Candidate {
@@ -189,7 +192,7 @@
             });
         choose(candidates, REQUIRED, &[], now).unwrap().is_last
     };
-    assert!(!is_last(&well));
+    assert!(!is_last(&healthy));
     assert!(is_last(&behind));
 }
 
@@ -203,17 +206,17 @@
         role: Role::Primary,
         ..instance("primary")
     };
-    let well = InstanceHealth::default();
+    let healthy = InstanceHealth::default();
     let mut slow = InstanceHealth::default();
     slow.record_success(now, Duration::from_millis(900));
     let pick = |health: &InstanceHealth| {
         let candidates = [
-            (&primary, &well, Distance::Zone),
+            (&primary, &healthy, Distance::Zone),
             (&replica, health, Distance::Zone),
         ];
         chosen(candidates, now).unwrap().0.to_string()
     };
-    assert_eq!(pick(&well), "replica");
+    assert_eq!(pick(&healthy), "replica");
     assert_eq!(pick(&slow), "primary");
 }
 
@@ -231,7 +234,7 @@
     })
 }
 
-/// What an instance does with the steps a connection is told.
+/// An instance's session state, as the steps for a connection change it.
 #[derive(Default)]
 struct InstanceSession {
     values: SessionValues,
@@ -239,8 +242,8 @@
 }
 
 proptest! {
-    /// Whatever sessions use a connection in turn, the instance has exactly
-    /// the values of the one that uses it, and its prepared statements.
+    /// Whatever sessions use a connection in turn, the instance has exactly the values
+    /// of the session that uses it, and its prepared statements.
     #[test]
     fn a_connection_has_exactly_its_present_session_state(
         users in prop::collection::vec((values(), 0_u8..4), 1..40),
@@ -271,11 +274,11 @@
 fn a_cold_instance_serves_only_where_no_warm_one_does() {
     let now = Instant::now();
     let (near, far) = (instance("near"), instance("far"));
-    let well = InstanceHealth::default();
+    let healthy = InstanceHealth::default();
     let mut failing = InstanceHealth::default();
     failing.record_failure(now);
     let pick = |far_health: &InstanceHealth, now: Instant| {
-        let candidates = [(&near, &well, true), (&far, far_health, false)];
+        let candidates = [(&near, &healthy, true), (&far, far_health, false)];
         let candidates = candidates.map(|(instance, health, is_cold)| Candidate {
             instance,
             health,
@@ -285,6 +288,6 @@
         });
         choose(candidates.into_iter(), REQUIRED, &[], now).map(|it| it.instance.id.to_string())
     };
-    assert_eq!(pick(&well, now).as_deref(), Some("far"));
+    assert_eq!(pick(&healthy, now).as_deref(), Some("far"));
     assert_eq!(pick(&failing, now).as_deref(), Some("near"));
 }
--- a/crates/linkhold-core/tests/service_readers.rs
+++ b/crates/linkhold-core/tests/service_readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and how long followers trust a reader.
+//! Which nodes read the store, and how long followers trust a reader.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn trust_covers_the_readers_own_age() {
+fn trust_includes_the_age_of_the_readers_data() {
     let freshness = Freshness::for_bound(Duration::from_secs(4));
     let half = freshness.trust_period / 2;
     assert!(freshness.is_trusted(half, Duration::ZERO));
@@ -31,8 +31,9 @@
     assert!(!freshness.is_trusted(half, half));
 }
 
-/// A follower that loses a reader just before a change has to learn it from
-/// another source within the bound; a reader that only waits is not lost.
+/// A follower that loses a reader just before a change has to learn of it from another
+/// source within the bound; a reader that only waits for changes does not count as
+/// lost.
 #[test]
 fn trust_ends_before_the_bound_and_after_the_readers_wait() {
     for bound in [3_000, 4_000, 5_000, 6_000, 13_000].map(Duration::from_millis) {
@@ -50,8 +51,8 @@
     assert!(Freshness::for_bound(Duration::from_secs(6)).long_poll > strictest.long_poll);
 }
 
-/// A node that nobody follows finds out that a question hangs, and asks again,
-/// within the bound.
+/// A node without followers detects that a poll hangs, and repeats it, within the
+/// bound.
 #[test]
 fn a_node_alone_waits_longer_and_still_learns_changes_in_time() {
     for bound in [3_000, 4_000, 5_000, 6_000, 13_000].map(Duration::from_millis) {
@@ -100,7 +101,8 @@
     assert_eq!(choose_readers(&with_reader), ["a-2", "b-1"]);
 }
 
-/// Readers were chosen by name: a node that came made others change theirs.
+/// Guards against a choice of readers by name, by which a joining node replaced other
+/// readers.
 #[test]
 fn nodes_that_read_stay_readers_while_others_come_and_go() {
     let region = [
@@ -143,7 +145,8 @@
     assert_eq!(choose_readers(&region[..60]).len(), 2);
 }
 
-/// Two in each region made half of all calls to the store in a fleet of 23 nodes.
+/// Two readers in each region made half of all calls to the store in a fleet of 23
+/// nodes.
 #[test]
 fn readers_stand_in_different_regions_of_their_fleet() {
     let in_region = |region, node| ReaderCandidate { region, ..node };
@@ -162,8 +165,8 @@
     assert_eq!(choose_readers(&with_reader), ["c-2", "a-1"]);
 }
 
-/// A reader with a link of 20 Mbit/s told 30 followers a change of 100 KB in over a second;
-/// in a region of 328 nodes, eleven of them read the store.
+/// A reader with a link of 20 Mbit/s took over a second to send 30 followers a change
+/// of 100 KB; in a region of 328 nodes, eleven of them read the store.
 #[test]
 fn readers_with_wide_links_serve_more_nodes() {
     let names = names(328);
@@ -202,20 +205,20 @@
     assert_eq!(link_delay(0), Duration::ZERO);
 }
 
-/// 295 nodes that started together made 33 calls each: all read the store until
-/// they knew of each other.
+/// 295 nodes that started together made 33 calls each: all read the store until they
+/// knew of each other.
 #[test]
 fn of_many_nodes_that_start_together_few_take_up_reading() {
     const ROUNDS: usize = 200;
-    /// A look and a write at the store.
-    const TIME_TO_BE_FOUND: Duration = Duration::from_millis(30);
+    /// One read and one write of the store.
+    const DISCOVERY_TIME: Duration = Duration::from_millis(30);
     let mut random = StdRng::seed_from_u64(7);
     for nodes in [1, 9, 98, 295, 1_000] {
         let mut claims = 0;
         for _ in 0..ROUNDS {
             let delays: Vec<Duration> = (0..nodes).map(|_| claim_delay(random.random())).collect();
             let first = *delays.iter().min().unwrap();
-            let early = delays.iter().filter(|it| **it < first + TIME_TO_BE_FOUND);
+            let early = delays.iter().filter(|it| **it < first + DISCOVERY_TIME);
             claims += early.count();
         }
         let mean = claims as f64 / ROUNDS as f64;
@@ -225,8 +228,8 @@
     assert!(claim_delay(1.0) <= Duration::from_millis(500));
 }
 
-/// A follower's entry may be as old as its own interval and its reader's, and a
-/// change of reader, which takes as long as it is trusted, comes on top.
+/// A follower's entry may be as old as its own interval and its reader's, and a change
+/// of reader, which takes as long as the reader is trusted, comes on top.
 #[test]
 fn a_followers_entry_outlives_a_change_of_its_reader() {
     let freshness = Freshness::for_bound(Duration::from_secs(13));
@@ -235,25 +238,28 @@
     assert!(spread * 2 <= READER_EXPIRY + Duration::from_millis(200));
 }
 
-/// A part of the store takes 200 writes a second from all nodes; the largest
+/// A partition of the store accepts 200 writes a second from all nodes; the largest
 /// fleet named has 4,434 nodes.
 #[test]
 fn renewals_of_all_nodes_stay_within_what_the_store_takes() {
-    const MOST_WRITES_A_SECOND: f64 = 100.0;
+    const MAX_WRITES_PER_SECOND: f64 = 100.0;
     for size in [SMALL_FLEET + 1, 300, 4_434] {
         let names = names(size);
         let region: Vec<_> = names.iter().map(|name| node("a", name)).collect();
         let writes = choose_readers(&region).len() as f64;
-        let a_second = writes / FOLLOWER_RENEWAL_INTERVAL.as_secs_f64();
-        assert!(a_second < MOST_WRITES_A_SECOND, "{size} nodes: {a_second}");
+        let per_second = writes / FOLLOWER_RENEWAL_INTERVAL.as_secs_f64();
+        assert!(
+            per_second < MAX_WRITES_PER_SECOND,
+            "{size} nodes: {per_second}"
+        );
     }
     let small = SMALL_FLEET as f64 / RENEWAL_INTERVAL.as_secs_f64();
-    assert!(small < MOST_WRITES_A_SECOND);
+    assert!(small < MAX_WRITES_PER_SECOND);
     assert!(ROW_EXPIRY > RENEWAL_INTERVAL * 2);
 }
 
-/// Followers of each reader after some beats, at each of which they are sent away as is
-/// likely and come to the readers in turn; and how many moved.
+/// Followers of each reader after some beats, and how many moved. At each beat,
+/// followers are sent away with their probability and go to the readers in turn.
 fn after_beats(mut served: Vec<f64>, share: usize, beats: usize) -> (Vec<f64>, f64) {
     let mut moved = 0.0;
     for _ in 0..beats {
@@ -270,13 +276,13 @@
 
 #[test]
 fn followers_of_lost_readers_do_not_move_to_and_fro() {
-    // 985 nodes follow ten readers, of which the store refuses four for nine seconds; by
-    // the list they read as before.
+    // 985 nodes follow ten readers, of which the store refuses four for nine seconds;
+    // by the list they read as before.
     let (nodes, readers, lost) = (985, 10, 4);
     let share = nodes / readers;
     let left = vec![nodes as f64 / (readers - lost) as f64; readers - lost];
     let (_, moved) = after_beats(left, share, 18);
-    // Nobody has to move more than once for it.
+    // No follower has to move more than once for it.
     assert!(moved < (share * lost) as f64, "{moved} moved");
 }
 
@@ -287,7 +293,7 @@
 }
 
 #[test]
-fn a_reader_with_its_share_sends_nobody_away() {
+fn a_reader_with_its_share_sends_no_follower_away() {
     for served in 0..=127 {
         assert_eq!(shed_probability(served, 100), 0.0, "{served}");
     }
--- a/crates/linkhold-core/tests/service_regions.rs
+++ b/crates/linkhold-core/tests/service_regions.rs
@@ -1,4 +1,4 @@
-//! Regions that requests may not leave, and where primaries should stand.
+//! Regions to which requests are restricted, and regions in which primaries should be.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -64,10 +64,10 @@
 }
 
 proptest! {
-    /// Whatever route and tenant allow, a request that is admitted may run in a
-    /// region only if both allow it, and one that is refused has none.
+    /// Whatever route and tenant allow, an admitted request may run in a region only if
+    /// both allow it, and a refused one has no such region.
     #[test]
-    fn both_sets_bind(of_route in sets(), of_tenant in sets()) {
+    fn both_sets_apply(of_route in sets(), of_tenant in sets()) {
         let configuration = configuration(
             std::slice::from_ref(&of_route),
             std::slice::from_ref(&of_tenant),
@@ -88,7 +88,7 @@
     }
 
     /// Each route, the more urgent first, has the primary where it allows it, unless
-    /// those before it leave no such region. Tenants take nothing from routes.
+    /// those before it leave no such region. Tenants take no region from routes.
     #[test]
     fn more_urgent_routes_have_the_primary_where_they_allow_it(
         routes in prop::collection::vec(sets(), 1..5),
@@ -113,13 +113,14 @@
         }
     }
 
-    /// What is outside is never eligible, whatever its zone's state.
+    /// Instances outside the allowed regions are never eligible, whatever their zone's
+    /// state.
     #[test]
     fn nothing_outside_is_eligible(state in 0..3, is_free in any::<bool>()) {
         let zone = [ZoneState::InService, ZoneState::Draining, ZoneState::Closed][state as usize];
-        let engagement = if is_free { StatementBinding::Unbound } else { StatementBinding::Bound };
-        let standing = EligibilityFacts { is_in_regions: false, zone };
-        prop_assert_eq!(check(standing, engagement), Err(Ineligible::OutsideRegions));
+        let binding = if is_free { StatementBinding::Unbound } else { StatementBinding::Bound };
+        let facts = EligibilityFacts { is_in_regions: false, zone };
+        prop_assert_eq!(check(facts, binding), Err(Ineligible::OutsideRegions));
     }
 }
 
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn an_empty_list_binds_nothing() {
+fn an_empty_list_is_no_restriction() {
     assert_eq!(only(&[]), AllowedRegions::Everywhere);
     assert_eq!(only(&["b", "a"]).to_string(), "a,b");
 }
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -1,4 +1,4 @@
-//! What reaches an instance that has just started, from all nodes together.
+//! Requests that reach an instance which has just started, from all nodes together.
 
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
     Duration::from_millis(count)
 }
 
-/// Most moments that lie in any second.
+/// Highest number of moments that lie in any second.
 fn most_in_a_second(mut moments: Vec<Instant>) -> usize {
     moments.sort();
     let window = |index: usize| {
@@ -37,25 +37,25 @@
     (0..moments.len()).map(window).max().unwrap_or(0)
 }
 
-/// A node that wants to send all the time; what happens to it, by the moment.
+/// A node that always has requests to send, and the events that affect it, by moment.
 #[derive(Clone, Debug)]
-struct Life {
+struct NodeHistory {
     rank: usize,
-    /// When it is started again, forgetting what it sent.
+    /// When it is restarted and loses its count of sent requests.
     restarts: Vec<u64>,
-    /// From when to when it is frozen.
+    /// Start and length of the periods in which it is frozen.
     freezes: Vec<(u64, u64)>,
-    /// When it last heard of the fleet, if that ends.
+    /// When its view of the fleet stops being updated, if it does.
     cut_off_at: Option<u64>,
 }
 
-fn life(rank: usize) -> impl Strategy<Value = Life> {
+fn histories(rank: usize) -> impl Strategy<Value = NodeHistory> {
     (
         prop::collection::vec(0_u64..9_000, 0..4),
         prop::collection::vec((0_u64..9_000, 1_u64..3_000), 0..3),
         prop::option::of(0_u64..9_000),
     )
-        .prop_map(move |(restarts, freezes, cut_off_at)| Life {
+        .prop_map(move |(restarts, freezes, cut_off_at)| NodeHistory {
             rank,
             restarts,
             freezes,
@@ -63,37 +63,42 @@
         })
 }
 
-/// When a node sends, asked every few milliseconds. `waits_after_start`: the
-/// mechanism that makes up for what it has forgotten.
-fn sends(start: Instant, life: &Life, most: usize, waits_after_start: bool) -> Vec<Instant> {
+/// When a node sends, if asked every few milliseconds. `waits_after_start`: the
+/// mechanism that makes up for the lost count.
+fn sends(
+    start: Instant,
+    history: &NodeHistory,
+    max_requests: usize,
+    waits_after_start: bool,
+) -> Vec<Instant> {
     let mut sent = Vec::new();
     let mut count = RequestWindow::default();
     let mut started = None;
     for tick in (0..10_000).step_by(7) {
-        let restarted = life.restarts.iter().filter(|at| **at <= tick).max();
+        let restarted = history.restarts.iter().filter(|at| **at <= tick).max();
         if restarted.copied() != started {
             started = restarted.copied();
             count = RequestWindow::default();
         }
         let is_frozen = |(from, length): &(u64, u64)| (*from..*from + *length).contains(&tick);
-        if life.freezes.iter().any(is_frozen) {
+        if history.freezes.iter().any(is_frozen) {
             continue;
         }
         let now = start + milliseconds(tick);
-        let life_time = started.map_or(Duration::MAX, |at| milliseconds(tick - at));
-        let standing = SenderRank {
-            rank: Some(life.rank),
-            view_age: life
+        let uptime = started.map_or(Duration::MAX, |at| milliseconds(tick - at));
+        let sender = SenderRank {
+            rank: Some(history.rank),
+            view_age: history
                 .cut_off_at
                 .map_or(Duration::ZERO, |at| milliseconds(tick.saturating_sub(at))),
             uptime: if waits_after_start {
-                life_time
+                uptime
             } else {
                 Duration::MAX
             },
             was_listed: true,
         };
-        if may_send(standing) && count.try_count(now, most, true).is_ok() {
+        if may_send(sender) && count.try_count(now, max_requests, true).is_ok() {
             sent.push(now);
         }
     }
@@ -101,30 +106,30 @@
 }
 
 proptest! {
-    /// Whatever limit: the spenders' parts together are within the bound, and a part
-    /// is at least one request wherever the bound allows two.
+    /// Whatever the limit: the senders' shares together are within the maximum, and a
+    /// share is at least one request wherever the maximum allows two.
     #[test]
-    fn parts_are_within_the_bound(per_second in 0.1_f64..100.0, overshoot in 1.0_f64..3.0, slack in 0.0_f64..20.0) {
+    fn shares_are_within_the_maximum(per_second in 0.1_f64..100.0, overshoot in 1.0_f64..3.0, slack in 0.0_f64..20.0) {
         let rules = rules(overshoot, slack);
-        let most = rules.max_requests(limit(per_second));
-        let part = rules.sender_share(limit(per_second));
-        prop_assert!((part * SENDERS) as f64 <= most);
-        prop_assert!(part >= 1 || most < 2.0);
+        let max_requests = rules.max_requests(limit(per_second));
+        let share = rules.sender_share(limit(per_second));
+        prop_assert!((share * SENDERS) as f64 <= max_requests);
+        prop_assert!(share >= 1 || max_requests < 2.0);
     }
 
-    /// The spenders are started again, frozen and cut off at any moments, and send
-    /// whenever they may: no second has more than the bound.
+    /// The senders are restarted, frozen and cut off at any moment, and send whenever
+    /// they may: no second has more requests than the maximum.
     #[test]
-    fn no_second_has_more_than_the_bound(first in life(0), second in life(1), part in 1_usize..12) {
+    fn no_second_has_more_than_the_maximum(first in histories(0), second in histories(1), share in 1_usize..12) {
         let start = Instant::now();
-        let mut sent = sends(start, &first, part, true);
-        sent.extend(sends(start, &second, part, true));
-        prop_assert!(most_in_a_second(sent) <= part * SENDERS);
+        let mut sent = sends(start, &first, share, true);
+        sent.extend(sends(start, &second, share, true));
+        prop_assert!(most_in_a_second(sent) <= share * SENDERS);
     }
 
-    /// An instance is started again at any moment. It says so in an entry that is
-    /// read within the settling time, and its connections break. No node takes it
-    /// for warm from then on until it is.
+    /// An instance is restarted at any moment. Its entry, which is read within the
+    /// settling time, says so, and its connections break. From then on, no node
+    /// considers it warm before it is.
     #[test]
     fn a_restart_is_never_missed(
         opened in 0_u64..10_000,
@@ -148,15 +153,15 @@
                 warmth.watch_closed();
             }
             // The old connection answers nothing any more.
-            let is_heard = moment < restarted || moment >= restarted + reopened_after;
-            if is_heard && questions.contains(&moment) {
+            let is_answered = moment < restarted || moment >= restarted + reopened_after;
+            if is_answered && questions.contains(&moment) {
                 warmth.record_answer(at(moment));
             }
-            let told = restarted + entry_after..restarted + 5_000;
-            says_cold = told.contains(&moment);
+            let cold_entry = restarted + entry_after..restarted + 5_000;
+            says_cold = cold_entry.contains(&moment);
         }
         let is_cold = (restarted..restarted + 5_000).contains(&asked);
-        // A statement that reaches the new life is on a connection opened since.
+        // A statement that reaches the new incarnation is on a connection opened since.
         let sent_on = at(restarted + 1);
         if is_cold && asked > restarted {
             let is_taken_for_warm = warmth.is_warm(&rules, says_cold, at(asked))
@@ -166,12 +171,12 @@
     }
 }
 
-/// The bound's property with its mechanism switched off: a node that does not wait
-/// for what it sent in its last life exceeds it.
+/// The property of the maximum with its mechanism switched off: a node that does not
+/// wait for the requests that it sent before its restart exceeds the maximum.
 #[test]
-fn without_a_wait_after_a_start_the_bound_is_exceeded() {
+fn without_a_wait_after_a_start_the_maximum_is_exceeded() {
     let start = Instant::now();
-    let restarted = Life {
+    let restarted = NodeHistory {
         rank: 0,
         restarts: vec![200, 400, 600],
         freezes: Vec::new(),
@@ -182,7 +187,7 @@
 }
 
 /// A connection that was opened just now proves nothing, nor does one that has not
-/// answered since something broke.
+/// answered since another connection broke.
 #[test]
 fn an_instance_is_warm_after_it_has_settled_and_answered() {
     let start = Instant::now();
@@ -201,34 +206,35 @@
     assert!(warmth.is_warm(&rules, false, settled + milliseconds(4)));
 }
 
-/// How long an entry stands that is not written, in milliseconds: three intervals.
-const ENTRY_LIFE: u64 = 3_600;
+/// How long an entry that is not rewritten stays, in milliseconds: three intervals.
+const ENTRY_VALIDITY: u64 = 3_600;
 
-/// Whether an entry from before a restart is taken for that of the new life. The last life
-/// wrote it before `restarted`, the new one writes after `cut_for`, and the node opens its
-/// connection `opened_after` the restart. `looks_at_listing`: the mechanism.
-fn takes_an_old_entry(
+/// Whether an entry from before a restart is taken for that of the new incarnation. The
+/// old incarnation wrote it `written_before` ahead of `restarted`, the new one writes
+/// after `cut_for`, and the node opens its connection `opened_after` the restart.
+/// `checks_listing`: the mechanism.
+fn accepts_an_old_entry(
     restarted: u64,
     written_before: u64,
     cut_for: u64,
     opened_after: u64,
-    looks_at_listing: bool,
+    checks_listing: bool,
 ) -> bool {
     let start = Instant::now();
     let rules = rules(1.5, 5.0);
     let mut warmth = Warmth::default();
     warmth.watch_opened(start + milliseconds(restarted + opened_after));
-    let gone_at = restarted.saturating_sub(written_before) + ENTRY_LIFE;
+    let gone_at = restarted.saturating_sub(written_before) + ENTRY_VALIDITY;
     let first_written = restarted + cut_for;
     for moment in (restarted..first_written).step_by(50) {
-        let is_listed = moment < gone_at || !looks_at_listing;
+        let is_listed = moment < gone_at || !checks_listing;
         warmth.record_listing(&rules, is_listed, Some(start + milliseconds(moment)));
     }
     warmth.is_incarnation_listed()
 }
 
 proptest! {
-    /// An instance starts again, and does not reach the store for a while.
+    /// An instance is restarted, and does not reach the store for a while.
     #[test]
     fn an_entry_from_before_a_restart_proves_nothing(
         restarted in 5_000_u64..6_000,
@@ -236,30 +242,30 @@
         cut_for in 0_u64..10_000,
         opened_after in 0_u64..3_000,
     ) {
-        let takes = takes_an_old_entry(restarted, written_before, cut_for, opened_after, true);
-        prop_assert!(!takes);
+        let accepts = accepts_an_old_entry(restarted, written_before, cut_for, opened_after, true);
+        prop_assert!(!accepts);
     }
 }
 
 /// The property with its mechanism switched off.
 #[test]
-fn without_a_look_at_the_listing_an_old_entry_is_taken() {
-    assert!(takes_an_old_entry(5_000, 0, 9_000, 100, false));
-    assert!(!takes_an_old_entry(5_000, 0, 9_000, 100, true));
+fn without_a_check_of_the_listing_an_old_entry_is_accepted() {
+    assert!(accepts_an_old_entry(5_000, 0, 9_000, 100, false));
+    assert!(!accepts_an_old_entry(5_000, 0, 9_000, 100, true));
 }
 
 #[test]
-fn some_room_is_kept_for_what_is_urgent() {
+fn some_requests_are_reserved_for_urgent_ones() {
     let now = Instant::now();
     let mut count = RequestWindow::default();
-    let mut spent = 0;
+    let mut counted = 0;
     let wait = loop {
         match count.try_count(now, 9, false) {
-            Ok(()) => spent += 1,
+            Ok(()) => counted += 1,
             Err(wait) => break wait,
         }
     };
-    assert_eq!(spent, 6);
+    assert_eq!(counted, 6);
     assert!(
         wait > milliseconds(900) && wait < milliseconds(1_100),
         "{wait:?}"
@@ -272,7 +278,7 @@
 }
 
 #[test]
-fn a_node_that_is_new_or_has_lost_sight_of_the_fleet_sends_nothing() {
+fn a_node_that_is_new_or_has_an_old_view_of_the_fleet_sends_nothing() {
     let well = SenderRank {
         rank: Some(1),
         view_age: milliseconds(500),
@@ -280,7 +286,7 @@
         was_listed: true,
     };
     assert!(may_send(well));
-    for standing in [
+    for sender in [
         SenderRank { rank: None, ..well },
         SenderRank {
             rank: Some(SENDERS),
@@ -299,6 +305,6 @@
             ..well
         },
     ] {
-        assert!(!may_send(standing), "{standing:?}");
+        assert!(!may_send(sender), "{sender:?}");
     }
 }
--- a/crates/linkhold-core/tests/service_watchers.rs
+++ b/crates/linkhold-core/tests/service_watchers.rs
@@ -1,5 +1,5 @@
-//! The few nodes that look after a service's primary: how many there are does not grow with
-//! the fleet.
+//! The few nodes that watch a service's primary: their number does not grow with the
+//! fleet.
 
 use std::collections::BTreeSet;
 
@@ -21,8 +21,8 @@
     choose(service, fleet.iter().copied()).into_iter().collect()
 }
 
-/// Connections to one instance that takes 140, while all nodes of a fleet ask at once
-/// whether it can be reached and each that is asked connects once.
+/// Connections to one instance that accepts 140, while all nodes of a fleet ask at once
+/// whether it can be reached and each node that is asked connects once.
 #[test]
 fn connections_do_not_grow_with_the_fleet() {
     for size in [100, 300, 1_000, 2_200] {
@@ -37,22 +37,22 @@
 #[test]
 fn services_are_spread_over_the_nodes() {
     let fleet = fleet(985, 6);
-    let mut duties = std::collections::BTreeMap::new();
+    let mut services_per_node = std::collections::BTreeMap::new();
     for number in 0..1_000 {
         for node in watchers(&format!("service-{number}"), &fleet) {
-            *duties.entry(node).or_insert(0) += 1;
+            *services_per_node.entry(node).or_insert(0) += 1;
         }
     }
-    // Twelve on average.
+    // The average is twelve.
     assert!(
-        duties.values().max() < Some(&36),
+        services_per_node.values().max() < Some(&36),
         "{:?}",
-        duties.values().max()
+        services_per_node.values().max()
     );
 }
 
 proptest! {
-    /// Whatever tenth of the nodes is silent, or one zone as a whole, a service has a
+    /// Whichever tenth of the nodes is silent, or even one whole zone, a service has a
     /// watcher left.
     #[test]
     fn a_service_keeps_a_watcher(
@@ -73,7 +73,7 @@
         prop_assert!(chosen.difference(&silent).count() > 0);
     }
 
-    /// A node that comes or goes changes one zone's watchers at the most.
+    /// A node that joins or leaves changes one zone's watchers at most.
     #[test]
     fn watchers_stay_while_others_come_and_go(size in 50_usize..300, gone in any::<prop::sample::Index>()) {
         let before = fleet(size, 6);
