--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -308,12 +308,12 @@
     if synchronous > 0 {
         return candidates;
     }
-    let Some(most) = candidates.iter().map(|it| it.status.received).max() else {
+    let Some(most_advanced) = candidates.iter().map(|it| it.status.received).max() else {
         return candidates;
     };
     let is_close = |it: &Successor| {
         let received = it.status.received;
-        received.term == most.term && most.index - received.index <= SMALL_GAP
+        received.term == most_advanced.term && most_advanced.index - received.index <= SMALL_GAP
     };
     let is_good = |it: &Successor| is_close(it) && it.is_warm && !it.is_leaving;
     if candidates.iter().any(is_good) {
--- a/crates/linkhold-core/tests/service_following.rs
+++ b/crates/linkhold-core/tests/service_following.rs
@@ -180,8 +180,8 @@
         let reader = |_, now| if now < back { Reader::Stale } else { Reader::Fresh };
         let end = node.search(start + 2 * outage + 30 * SECOND, reader, |now| now >= back);
         prop_assert_eq!(end, Some(End::Followed));
-        let most = 2 + outage_s as usize / 2;
-        prop_assert!(node.store_checks.len() <= most, "{} store checks in {outage_s} s", node.store_checks.len());
+        let max_checks = 2 + outage_s as usize / 2;
+        prop_assert!(node.store_checks.len() <= max_checks, "{} store checks in {outage_s} s", node.store_checks.len());
     }
 }
 
--- a/crates/linkhold-core/tests/service_warm_up.rs
+++ b/crates/linkhold-core/tests/service_warm_up.rs
@@ -28,7 +28,7 @@
 }
 
 /// Highest number of moments that lie in any second.
-fn most_in_a_second(mut moments: Vec<Instant>) -> usize {
+fn max_per_second(mut moments: Vec<Instant>) -> usize {
     moments.sort();
     let window = |index: usize| {
         let end = moments[index] + Duration::from_secs(1);
@@ -124,7 +124,7 @@
         let start = Instant::now();
         let mut sent = sends(start, &first, share, true);
         sent.extend(sends(start, &second, share, true));
-        prop_assert!(most_in_a_second(sent) <= share * SENDERS);
+        prop_assert!(max_per_second(sent) <= share * SENDERS);
     }
 
     /// An instance is restarted at any moment. Its entry, which is read within the
@@ -182,8 +182,8 @@
         freezes: Vec::new(),
         cut_off_at: None,
     };
-    assert!(most_in_a_second(sends(start, &restarted, 5, false)) > 5 * SENDERS);
-    assert!(most_in_a_second(sends(start, &restarted, 5, true)) <= 5);
+    assert!(max_per_second(sends(start, &restarted, 5, false)) > 5 * SENDERS);
+    assert!(max_per_second(sends(start, &restarted, 5, true)) <= 5);
 }
 
 /// A connection that was opened just now proves nothing, nor does one that has not
--- a/crates/linkhold-core/tests/service_watchers.rs
+++ b/crates/linkhold-core/tests/service_watchers.rs
@@ -27,10 +27,10 @@
 fn connections_do_not_grow_with_the_fleet() {
     for size in [100, 300, 1_000, 2_200] {
         let fleet = fleet(size, 6);
-        let most = (0..100)
+        let max_watchers = (0..100)
             .map(|number| watchers(&format!("service-{number}"), &fleet).len())
             .max();
-        assert_eq!(most, Some(12), "{size} nodes");
+        assert_eq!(max_watchers, Some(12), "{size} nodes");
     }
 }
 
@@ -75,10 +75,10 @@
 
     /// A node that joins or leaves changes one zone's watchers at most.
     #[test]
-    fn watchers_stay_while_others_come_and_go(size in 50_usize..300, gone in any::<prop::sample::Index>()) {
+    fn watchers_stay_while_others_come_and_go(size in 50_usize..300, departed in any::<prop::sample::Index>()) {
         let before = fleet(size, 6);
         let mut after = before.clone();
-        after.remove(gone.index(size));
+        after.remove(departed.index(size));
         let (before, after) = (watchers("ledger", &before), watchers("ledger", &after));
         prop_assert!(before.difference(&after).count() <= 1);
     }
