--- a/crates/linkhold-core/tests/service_failover.rs
+++ b/crates/linkhold-core/tests/service_failover.rs
@@ -206,8 +206,8 @@
     assert_eq!(chosen.status.id, id("a"));
 }
 
-/// A new instance has received as much as the leaving primary that it could replace,
-/// but as a primary it could serve hardly any requests.
+/// A new instance that replaces a leaving one has received as much: as a primary it
+/// could serve next to no requests.
 #[test]
 fn a_cold_successor_is_passed_over_for_a_warm_one_that_is_close() {
     let at = |index| Position {
