--- a/crates/linkhold-core/src/service/connection_share.rs
+++ b/crates/linkhold-core/src/service/connection_share.rs
@@ -67,7 +67,7 @@
 }
 
 /// The share of a node that is not an owner, for when it finds none.
-pub fn without_owner(limit: usize) -> Share {
+pub fn of_non_owner(limit: usize) -> Share {
     Share {
         limit: NON_OWNER_LIMIT.min(limit),
         idle_for: Some(NON_OWNER_IDLE_TIMEOUT),
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -129,14 +129,14 @@
     let steady = connection_share::equal(36, 7, false);
     assert_eq!((steady.limit, steady.idle_for), (3, None));
     assert_eq!(connection_share::equal(36, 7, true).limit, 2);
-    let others = connection_share::without_owner(36);
+    let others = connection_share::of_non_owner(36);
     assert_eq!(others.limit, 3);
     let owner = connection_share::of_owner(36, 4);
     assert!(owner.limit > others.limit && owner.idle_for > others.idle_for);
     // Connections that owners keep open leave room for restarts of all of them.
     assert!(owner.kept > 0 && owner.kept * 2 < owner.limit);
     assert_eq!(others.kept, 0);
-    assert_eq!(connection_share::without_owner(1).limit, 1);
+    assert_eq!(connection_share::of_non_owner(1).limit, 1);
 }
 
 /// A replica that is behind is not asked again before it may have caught up, the later
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -93,7 +93,7 @@
         if owners.includes_self {
             connection_share::of_owner(most, owners.count)
         } else {
-            connection_share::without_owner(most)
+            connection_share::of_non_owner(most)
         }
     }
 
