--- a/crates/linkhold-core/src/service/directory/primaries.rs
+++ b/crates/linkhold-core/src/service/directory/primaries.rs
@@ -74,7 +74,8 @@
         self.primaries.get(service)?.current.as_ref()
     }
 
-    /// Marks an instance that denied being primary.
+    /// Marks an instance that denied being primary; returns the change of the known
+    /// primary, if any.
     pub fn mark_not_primary(&mut self, id: &InstanceId) -> Option<PrimaryChange> {
         let service = self.instance(id)?.service.clone();
         let known = self.primaries.entry(service.clone()).or_default();
@@ -86,7 +87,8 @@
         self.set_primary(&service, other, PrimarySource::Announced)
     }
 
-    /// Sets an instance as primary that proved to be primary or was promoted.
+    /// Sets as primary an instance that proved to be primary or was promoted; returns
+    /// the change, if any.
     pub fn confirm_primary(
         &mut self,
         id: &InstanceId,
--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -9,9 +9,9 @@
 //!   restored from an older copy may have lost a claim. Tokens of a later era are
 //!   higher than all of an earlier one ([`next_token`]), whichever of them the copy
 //!   holds.
-//! * A former primary is ordered to resume under a lease that directly follows the one
-//!   for its successor ([`FailoverLease::directly_follows`]): a node that was paused
-//!   between the two may wake after another node's promotion.
+//! * A former primary is ordered to resume its role under a lease that directly follows
+//!   the one for its successor ([`FailoverLease::directly_follows`]): a node that was
+//!   paused between the two may wake after another node's promotion.
 //! * A holder keeps other nodes from claiming for [`LEASE`], counted on the store's
 //!   clock from the write that claimed.
 //! * An order is sent only while its lease lasts for [`ORDER_TIMEOUT`] more, by its
