--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -182,7 +182,7 @@
         }
         let mut found = None;
         for instance in instances.directory.instances(service) {
-            match self.eligibility_in(&instances, instance, regions, StatementBinding::Free) {
+            match self.eligibility_in(&instances, instance, regions, StatementBinding::Unbound) {
                 Ok(()) => return None,
                 // An evacuated instance stands in the regions, so evacuation is the
                 // reason to report.
@@ -204,7 +204,7 @@
     /// Whether an instance stands where a primary of its service should.
     pub fn is_well_placed(&self, instance: &Instance) -> bool {
         let regions = self.primary_regions(&instance.service);
-        self.eligibility(instance, &regions, StatementBinding::Free)
+        self.eligibility(instance, &regions, StatementBinding::Unbound)
             .is_ok()
     }
 
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -94,7 +94,7 @@
         if owners.includes_self {
             connection_share::of_owner(limit, owners.count)
         } else {
-            connection_share::without_owner(limit)
+            connection_share::of_non_owner(limit)
         }
     }
 
