--- a/crates/linkhold-gateway/src/evidence/primary_verification.rs
+++ b/crates/linkhold-gateway/src/evidence/primary_verification.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Fails if the instance denied being primary.
+/// Refuses an instance whose announcement that it is primary is to be ignored.
 fn reject_denied<P: Platform>(gateway: &Gateway<P>, primary: &Instance) -> Result<(), NotRunCause> {
     if gateway.cluster.is_denied(&primary.id) {
         return Err(NotRunCause::Refused(BackendErrorKind::ReadOnly));
@@ -101,7 +101,8 @@
     }
 }
 
-/// Why nothing may be sent to a primary that returned no status; it may only be busy.
+/// Probes a primary that returned no status, which may only be busy; returns why
+/// nothing may be sent to it.
 async fn probe_unanswering<P: Platform>(
     gateway: &Gateway<P>,
     primary: &Arc<Instance>,
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -236,7 +236,7 @@
 }
 
 /// Asks every node to agree to a replacement. The error holds the nodes that reach the
-/// subject; it is empty if a node is silent or the list of nodes is not available.
+/// subject; it is empty if the agreement failed for another reason.
 async fn ask_to_agree<P: Platform>(
     gateway: &Gateway<P>,
     service: &ServiceName,
--- a/crates/linkhold-gateway/src/failover/order.rs
+++ b/crates/linkhold-gateway/src/failover/order.rs
@@ -118,8 +118,8 @@
     log_order(&order, successor.received, &grounds, answer, started);
     let is_settled =
         answer != PromoteAnswer::Unknown && gateway.leases.answered(service, order.token);
-    // Then neither other nodes nor a later order of this node have to wait for this
-    // order.
+    // Once the order is settled, neither other nodes nor a later order of this node
+    // have to wait for it.
     let ordered = grounds.claim.lease.clone();
     let settling = (is_settled && ordered.ordered_at.is_some())
         .then(|| tokio::spawn(settle_order(gateway.clone(), service.clone(), ordered)));
