--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -41,7 +41,7 @@
 /// the time after which others take it for gone.
 pub const VIEW_TRUST: Duration = Duration::from_millis(11_000);
 /// How long a node that was told of another first sends its askers there.
-pub const ELSEWHERE_FOR: Duration = Duration::from_millis(3_000);
+pub const REDIRECT_PERIOD: Duration = Duration::from_millis(3_000);
 /// Shortest time after which a refused caller is told to come back.
 const LEAST_RETRY: Duration = Duration::from_millis(50);
 /// Longest time after which a refused caller is told to come back.
--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -7,7 +7,7 @@
 
 use linkhold_core::tenancy::TenantName;
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, ELSEWHERE_FOR, Grant, GrantTerms, Standing,
+    CoordinatedBudget, REDIRECT_PERIOD, Grant, GrantTerms, Standing,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack};
 use linkhold_events::Event;
@@ -102,7 +102,7 @@
 ) {
     let displacement = Displacement {
         address: by,
-        until: Instant::now() + ELSEWHERE_FOR,
+        until: Instant::now() + REDIRECT_PERIOD,
     };
     let known =
         lock(&environment.quotas().coordination.displacements).insert(tenant.clone(), displacement);
