--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -2,7 +2,7 @@
 //!
 //! All nodes choose a tenant's coordinator alike ([`crate::rendezvous`]) and ask
 //! it before an operation. It grants from a token bucket, which fills at the
-//! tenant's rate; a grant lapses after [`LAPSE`], spent or not.
+//! tenant's rate; a grant lapses after [`GRANT_LIFETIME`], spent or not.
 //!
 //! # Invariants
 //!
@@ -29,7 +29,7 @@
 /// Life of a grant: long enough for the answer's way between regions and a
 /// caller's turn, short enough that an overshoot of 10% of five seconds covers
 /// what it adds to a window.
-pub const LAPSE: Duration = Duration::from_millis(300);
+pub const GRANT_LIFETIME: Duration = Duration::from_millis(300);
 /// Parts of the reserve: what a bucket may hold beyond the burst, what a new one
 /// starts with, and what nodes grant in place of a live one in a window.
 const HELD_PART: f64 = 0.5;
@@ -39,7 +39,7 @@
 const LEAST_FILLED_PART: f64 = 0.05;
 /// How long a node without news from the store takes itself for first: less than
 /// the time after which others take it for gone.
-pub const VIEW_TRUST: Duration = Duration::from_millis(11_000);
+pub const MAX_VIEW_AGE: Duration = Duration::from_millis(11_000);
 /// How long a node that was told of another first sends its askers there.
 pub const REDIRECT_PERIOD: Duration = Duration::from_millis(3_000);
 /// Shortest time after which a refused caller is told to come back.
@@ -62,8 +62,8 @@
     /// `others_lost` tells whether the nodes before it gave it no answer.
     pub fn of_rank(rank: Option<usize>, view_age: Duration, others_lost: bool) -> Self {
         match rank {
-            Some(0) if view_age < VIEW_TRUST => Self::Coordinator,
-            Some(rank) if rank > 0 && others_lost && view_age < VIEW_TRUST => Self::Coordinator,
+            Some(0) if view_age < MAX_VIEW_AGE => Self::Coordinator,
+            Some(rank) if rank > 0 && others_lost && view_age < MAX_VIEW_AGE => Self::Coordinator,
             Some(_) | None => Self::StandIn,
         }
     }
@@ -91,12 +91,12 @@
         self.in_window.most - self.in_window.owed
     }
 
-    /// What the bucket holds at most. A grant may be spent up to [`LAPSE`] later,
+    /// What the bucket holds at most. A grant may be spent up to [`GRANT_LIFETIME`] later,
     /// so a window may have what filled in as much more time.
     fn capacity(&self) -> f64 {
         let held = match self.standing {
             Standing::Coordinator => {
-                let lapse = self.limit.rate_per_second * LAPSE.as_secs_f64();
+                let lapse = self.limit.rate_per_second * GRANT_LIFETIME.as_secs_f64();
                 self.limit.burst + self.reserve() * HELD_PART - lapse
             }
             Standing::StandIn => self.reserve() * STAND_IN_PART,
@@ -219,7 +219,7 @@
     /// surely come while the grant lasts, by what was spent lately.
     pub fn need(&mut self, now: Instant, waiting: u64) -> u64 {
         let recent = self.spent.total(now) as f64;
-        let coming = recent * LAPSE.as_secs_f64() / NEED_WINDOW.as_secs_f64();
+        let coming = recent * GRANT_LIFETIME.as_secs_f64() / NEED_WINDOW.as_secs_f64();
         self.wanted = waiting.max(1) + coming.floor() as u64;
         self.wanted
     }
@@ -248,7 +248,7 @@
     /// A budget was granted in answer to a question that was sent at `asked_at`.
     /// Its life counts from there, since the coordinator counts from later.
     pub fn granted(&mut self, asked_at: Instant, grant: Grant) {
-        self.tokens.add(asked_at + LAPSE, grant.amount);
+        self.tokens.add(asked_at + GRANT_LIFETIME, grant.amount);
         self.refused_until = (grant.amount == 0).then(|| asked_at + grant.retry_after);
         if grant.amount < self.wanted {
             self.short_at = Some(asked_at);
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantTerms, HeldBudget, LAPSE, Spending, Standing, VIEW_TRUST,
+    CoordinatedBudget, Grant, GrantTerms, HeldBudget, GRANT_LIFETIME, Spending, Standing, MAX_VIEW_AGE,
 };
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
@@ -29,7 +29,7 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let lapse = LAPSE.as_millis() as u64;
+    let lapse = GRANT_LIFETIME.as_millis() as u64;
     let step = prop_oneof![
         8 => (1_u64..400).prop_map(Step::Pass),
         1 => (1_000_u64..9_000).prop_map(Step::Pass),
@@ -113,7 +113,7 @@
     fn succeed(&mut self) {
         let now = self.now;
         self.successions
-            .retain(|at| now < *at + RULES.window + LAPSE);
+            .retain(|at| now < *at + RULES.window + GRANT_LIFETIME);
         if self.successions.len() < 2 {
             self.successions.push(now);
             self.coordinator = CoordinatedBudget::new(now, &self.terms);
@@ -246,8 +246,8 @@
     assert_eq!(of_rank(Some(1), soon, false), Standing::StandIn);
     assert_eq!(of_rank(Some(2), soon, true), Standing::Coordinator);
     assert_eq!(of_rank(None, soon, true), Standing::StandIn);
-    assert_eq!(of_rank(Some(0), VIEW_TRUST, false), Standing::StandIn);
-    assert_eq!(of_rank(Some(1), VIEW_TRUST, true), Standing::StandIn);
+    assert_eq!(of_rank(Some(0), MAX_VIEW_AGE, false), Standing::StandIn);
+    assert_eq!(of_rank(Some(1), MAX_VIEW_AGE, true), Standing::StandIn);
 }
 
 #[test]
@@ -264,7 +264,7 @@
     for _ in 0..10 {
         assert_eq!(held.spend(start), Spending::Granted);
     }
-    let lapsed = start + LAPSE;
+    let lapsed = start + GRANT_LIFETIME;
     assert_eq!(held.spend(lapsed), Spending::Ask);
     // Ten in a second and a half are two in the life of a grant.
     assert_eq!(held.need(lapsed, 1), 3);
