--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -49,15 +49,15 @@
 
 /// As what a node grants a tenant's budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum GrantRole {
     /// It is the tenant's coordinator.
     Coordinator,
     /// It was asked in place of a node that may live.
     StandIn,
 }
 
-impl Standing {
-    /// The standing of a node at `rank` in its view of the fleet (`None`: not among
+impl GrantRole {
+    /// The role of a node at `rank` in its view of the fleet (`None`: not among
     /// the first ones), of which the store was last heard `view_age` ago.
     /// `others_lost` tells whether the nodes before it gave it no answer.
     pub fn of_rank(rank: Option<usize>, view_age: Duration, others_lost: bool) -> Self {
@@ -79,7 +79,7 @@
     /// Length of the window.
     pub window: Duration,
     /// As what the node grants.
-    pub standing: Standing,
+    pub role: GrantRole,
     /// Operations a second that are kept for nodes which may ask another coordinator
     /// ([`super::parts`]).
     pub held_back: f64,
@@ -94,24 +94,24 @@
     /// What the bucket holds at most. A grant may be spent up to [`GRANT_LIFETIME`] later,
     /// so a window may have what filled in as much more time.
     fn capacity(&self) -> f64 {
-        let held = match self.standing {
-            Standing::Coordinator => {
+        let held = match self.role {
+            GrantRole::Coordinator => {
                 let lapse = self.limit.rate_per_second * GRANT_LIFETIME.as_secs_f64();
                 self.limit.burst + self.reserve() * HELD_PART - lapse
             }
-            Standing::StandIn => self.reserve() * STAND_IN_PART,
+            GrantRole::StandIn => self.reserve() * STAND_IN_PART,
         };
         held.max(1.0)
     }
 
     /// Operations that fill in a second.
     fn fill_rate(&self) -> f64 {
-        match self.standing {
-            Standing::Coordinator => {
+        match self.role {
+            GrantRole::Coordinator => {
                 let rate = self.limit.rate_per_second;
                 (rate - self.held_back).max(rate * LEAST_FILLED_PART)
             }
-            Standing::StandIn => self.reserve() * STAND_IN_PART / self.window.as_secs_f64() / 2.0,
+            GrantRole::StandIn => self.reserve() * STAND_IN_PART / self.window.as_secs_f64() / 2.0,
         }
     }
 }
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantTerms, HeldBudget, GRANT_LIFETIME, Spending, Standing, MAX_VIEW_AGE,
+    CoordinatedBudget, Grant, GrantTerms, HeldBudget, GRANT_LIFETIME, Spending, GrantRole, MAX_VIEW_AGE,
 };
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
@@ -40,7 +40,7 @@
     prop::collection::vec(step, 1..400)
 }
 
-fn terms(rate: f64, burst: f64, standing: Standing) -> GrantTerms {
+fn terms(rate: f64, burst: f64, role: GrantRole) -> GrantTerms {
     let limit = RateLimit {
         rate_per_second: rate,
         burst,
@@ -49,7 +49,7 @@
         limit,
         in_window: RULES.window_limit(limit),
         window: RULES.window,
-        standing,
+        role,
         held_back: 0.0,
     }
 }
@@ -68,8 +68,8 @@
 impl Model {
     fn new(rate: f64, burst: f64) -> Self {
         let now = Instant::now();
-        let coordinating = terms(rate, burst, Standing::Coordinator);
-        let standing_in = terms(rate, burst, Standing::StandIn);
+        let coordinating = terms(rate, burst, GrantRole::Coordinator);
+        let standing_in = terms(rate, burst, GrantRole::StandIn);
         Self {
             now,
             terms: coordinating,
@@ -241,13 +241,13 @@
 #[test]
 fn a_node_grants_the_rate_only_as_first_or_after_the_others_are_lost() {
     let soon = Duration::from_millis(10);
-    let of_rank = Standing::of_rank;
-    assert_eq!(of_rank(Some(0), soon, false), Standing::Coordinator);
-    assert_eq!(of_rank(Some(1), soon, false), Standing::StandIn);
-    assert_eq!(of_rank(Some(2), soon, true), Standing::Coordinator);
-    assert_eq!(of_rank(None, soon, true), Standing::StandIn);
-    assert_eq!(of_rank(Some(0), MAX_VIEW_AGE, false), Standing::StandIn);
-    assert_eq!(of_rank(Some(1), MAX_VIEW_AGE, true), Standing::StandIn);
+    let of_rank = GrantRole::of_rank;
+    assert_eq!(of_rank(Some(0), soon, false), GrantRole::Coordinator);
+    assert_eq!(of_rank(Some(1), soon, false), GrantRole::StandIn);
+    assert_eq!(of_rank(Some(2), soon, true), GrantRole::Coordinator);
+    assert_eq!(of_rank(None, soon, true), GrantRole::StandIn);
+    assert_eq!(of_rank(Some(0), MAX_VIEW_AGE, false), GrantRole::StandIn);
+    assert_eq!(of_rank(Some(1), MAX_VIEW_AGE, true), GrantRole::StandIn);
 }
 
 #[test]
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantTerms, HeldBudget, Spending, Standing,
+    CoordinatedBudget, Grant, GrantTerms, HeldBudget, Spending, GrantRole,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack, InheritedPart};
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
@@ -130,7 +130,7 @@
         limit,
         in_window: RULES.window_limit(limit),
         window: RULES.window,
-        standing: Standing::Coordinator,
+        role: GrantRole::Coordinator,
         held_back,
     }
 }
--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -7,7 +7,7 @@
 
 use linkhold_core::tenancy::TenantName;
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, REDIRECT_PERIOD, Grant, GrantTerms, Standing,
+    CoordinatedBudget, REDIRECT_PERIOD, Grant, GrantTerms, GrantRole,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack};
 use linkhold_events::Event;
@@ -48,7 +48,7 @@
 /// The budget that this node grants from for a tenant.
 struct CoordinatedTenant {
     budget: CoordinatedBudget,
-    standing: Standing,
+    role: GrantRole,
     /// When the other coordinators were last checked.
     checked_at: Option<Instant>,
     /// Whether the coordinators before this node gave no answer.
@@ -147,15 +147,15 @@
         .entry(tenant.clone())
         .or_insert_with(|| CoordinatedTenant {
             budget: CoordinatedBudget::new(now, &terms),
-            standing: terms.standing,
+            role: terms.role,
             checked_at: None,
             predecessors_lost: false,
             parts: AskerParts::default(),
         });
-    if entry.standing != terms.standing {
+    if entry.role != terms.role {
         entry.budget = CoordinatedBudget::new(now, &terms);
-        entry.standing = terms.standing;
-        log_standing(tenant, terms.standing, rank);
+        entry.role = terms.role;
+        log_role(tenant, terms.role, rank);
     }
     entry.budget.give_back(request.unused, &terms);
     let wanted = request.wanted;
@@ -184,7 +184,7 @@
         limit,
         in_window: rules.window_limit(limit),
         window: rules.window,
-        standing: Standing::of_rank(rank, environment.view_age(), predecessors_lost),
+        role: GrantRole::of_rank(rank, environment.view_age(), predecessors_lost),
         held_back: held_back.of(limit),
     })
 }
@@ -216,10 +216,10 @@
     }
 }
 
-fn log_standing(tenant: &TenantName, standing: Standing, rank: Option<usize>) {
+fn log_role(tenant: &TenantName, role: GrantRole, rank: Option<usize>) {
     Event::info("budget_standing_changed")
         .field("tenant", tenant)
-        .field("standing", format_args!("{standing:?}"))
+        .field("standing", format_args!("{role:?}"))
         .field("rank", format_args!("{rank:?}"))
         .log();
 }
