--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -71,7 +71,7 @@
 
 /// What decides a grant besides the bucket itself.
 #[derive(Clone, Copy, Debug)]
-pub struct GrantTerms {
+pub struct GrantPolicy {
     /// What the tenant may ask.
     pub limit: RateLimit,
     /// What that comes to in a window.
@@ -85,7 +85,7 @@
     pub held_back: f64,
 }
 
-impl GrantTerms {
+impl GrantPolicy {
     /// Operations that no window may exceed, less those that are owed.
     fn reserve(&self) -> f64 {
         self.in_window.most - self.in_window.owed
@@ -134,40 +134,40 @@
 
 impl CoordinatedBudget {
     /// A new bucket.
-    pub fn new(now: Instant, terms: &GrantTerms) -> Self {
+    pub fn new(now: Instant, policy: &GrantPolicy) -> Self {
         Self {
-            level: (terms.reserve() * START_PART).min(terms.capacity()),
+            level: (policy.reserve() * START_PART).min(policy.capacity()),
             filled_at: now,
         }
     }
 
     /// Grants up to `wanted` operations.
-    pub fn grant(&mut self, now: Instant, wanted: u64, terms: &GrantTerms) -> Grant {
-        self.fill(now, terms);
+    pub fn grant(&mut self, now: Instant, wanted: u64, policy: &GrantPolicy) -> Grant {
+        self.fill(now, policy);
         let amount = wanted.min(self.level.floor() as u64);
         self.level -= amount as f64;
         Grant {
             amount,
-            retry_after: self.retry_after(terms),
+            retry_after: self.retry_after(policy),
         }
     }
 
     /// Operations that were granted and certainly did not run.
-    pub fn give_back(&mut self, amount: u64, terms: &GrantTerms) {
-        self.level = (self.level + amount as f64).min(terms.capacity());
+    pub fn give_back(&mut self, amount: u64, policy: &GrantPolicy) {
+        self.level = (self.level + amount as f64).min(policy.capacity());
     }
 
-    fn fill(&mut self, now: Instant, terms: &GrantTerms) {
+    fn fill(&mut self, now: Instant, policy: &GrantPolicy) {
         let passed = now.saturating_duration_since(self.filled_at);
         self.filled_at = self.filled_at.max(now);
-        let filled = self.level + passed.as_secs_f64() * terms.fill_rate();
-        self.level = filled.min(terms.capacity());
+        let filled = self.level + passed.as_secs_f64() * policy.fill_rate();
+        self.level = filled.min(policy.capacity());
     }
 
     /// When there will be an operation again.
-    fn retry_after(&self, terms: &GrantTerms) -> Duration {
+    fn retry_after(&self, policy: &GrantPolicy) -> Duration {
         let missing = (1.0 - self.level).max(0.0);
-        let wait = Duration::try_from_secs_f64(missing / terms.fill_rate());
+        let wait = Duration::try_from_secs_f64(missing / policy.fill_rate());
         wait.unwrap_or(LONGEST_RETRY)
             .clamp(LEAST_RETRY, LONGEST_RETRY)
     }
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantTerms, HeldBudget, GRANT_LIFETIME, Spending, GrantRole, MAX_VIEW_AGE,
+    CoordinatedBudget, Grant, GrantPolicy, HeldBudget, GRANT_LIFETIME, Spending, GrantRole, MAX_VIEW_AGE,
 };
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
@@ -40,12 +40,12 @@
     prop::collection::vec(step, 1..400)
 }
 
-fn terms(rate: f64, burst: f64, role: GrantRole) -> GrantTerms {
+fn policy(rate: f64, burst: f64, role: GrantRole) -> GrantPolicy {
     let limit = RateLimit {
         rate_per_second: rate,
         burst,
     };
-    GrantTerms {
+    GrantPolicy {
         limit,
         in_window: RULES.window_limit(limit),
         window: RULES.window,
@@ -56,8 +56,8 @@
 
 struct Model {
     now: Instant,
-    terms: GrantTerms,
-    stand_in_terms: GrantTerms,
+    policy: GrantPolicy,
+    stand_in_policy: GrantPolicy,
     coordinator: CoordinatedBudget,
     stand_in: CoordinatedBudget,
     /// When coordinators took over lately.
@@ -68,12 +68,12 @@
 impl Model {
     fn new(rate: f64, burst: f64) -> Self {
         let now = Instant::now();
-        let coordinating = terms(rate, burst, GrantRole::Coordinator);
-        let standing_in = terms(rate, burst, GrantRole::StandIn);
+        let coordinating = policy(rate, burst, GrantRole::Coordinator);
+        let standing_in = policy(rate, burst, GrantRole::StandIn);
         Self {
             now,
-            terms: coordinating,
-            stand_in_terms: standing_in,
+            policy: coordinating,
+            stand_in_policy: standing_in,
             coordinator: CoordinatedBudget::new(now, &coordinating),
             stand_in: CoordinatedBudget::new(now, &standing_in),
             successions: vec![now],
@@ -94,14 +94,14 @@
                     wanted,
                     spent_after,
                 } => {
-                    let grant = self.coordinator.grant(self.now, *wanted, &self.terms);
+                    let grant = self.coordinator.grant(self.now, *wanted, &self.policy);
                     self.spend(grant, *spent_after);
                 }
                 Step::AskStandIn {
                     wanted,
                     spent_after,
                 } => {
-                    let grant = self.stand_in.grant(self.now, *wanted, &self.stand_in_terms);
+                    let grant = self.stand_in.grant(self.now, *wanted, &self.stand_in_policy);
                     self.spend(grant, *spent_after);
                 }
                 Step::Succeed => self.succeed(),
@@ -116,7 +116,7 @@
             .retain(|at| now < *at + RULES.window + GRANT_LIFETIME);
         if self.successions.len() < 2 {
             self.successions.push(now);
-            self.coordinator = CoordinatedBudget::new(now, &self.terms);
+            self.coordinator = CoordinatedBudget::new(now, &self.policy);
         }
     }
 
@@ -145,7 +145,7 @@
     ) {
         let mut model = Model::new(f64::from(rate), f64::from(burst));
         model.run(&steps);
-        let most = model.terms.in_window.most;
+        let most = model.policy.in_window.most;
         prop_assert!(model.fullest_window() as f64 <= most, "{most}");
     }
 }
@@ -169,14 +169,14 @@
     flood(&mut model, Duration::from_secs(30));
     let spent: u64 = model.spent.iter().map(|(_, amount)| amount).sum();
     assert!(spent as f64 >= 40.0 * 29.0, "{spent}");
-    assert!(model.fullest_window() as f64 <= model.terms.in_window.most);
+    assert!(model.fullest_window() as f64 <= model.policy.in_window.most);
 }
 
 #[test]
 fn two_coordinators_at_a_time_exceed_the_limit() {
     // What the module says it cannot prevent, so that the model would show it.
     let mut model = Model::new(40.0, 40.0);
-    let mut second = CoordinatedBudget::new(model.now, &model.terms);
+    let mut second = CoordinatedBudget::new(model.now, &model.policy);
     for _ in 0..1_000 {
         model.run(&[
             Step::Pass(20),
@@ -185,10 +185,10 @@
                 spent_after: 0,
             },
         ]);
-        let grant = second.grant(model.now, 100, &model.terms);
+        let grant = second.grant(model.now, 100, &model.policy);
         model.spend(grant, 0);
     }
-    assert!(model.fullest_window() as f64 > model.terms.in_window.most);
+    assert!(model.fullest_window() as f64 > model.policy.in_window.most);
 }
 
 #[test]
@@ -199,7 +199,7 @@
         let mut refused = 0;
         for _ in 0..2_000 {
             model.now += pause;
-            let grant = model.coordinator.grant(model.now, 1, &model.terms);
+            let grant = model.coordinator.grant(model.now, 1, &model.policy);
             refused += u32::from(grant.amount == 0);
         }
         assert_eq!(refused, 0, "at {rate} a second");
@@ -209,12 +209,12 @@
 #[test]
 fn a_refusal_tells_when_the_bucket_has_one_again() {
     let mut model = Model::new(4.0, 1.0);
-    let drained = model.coordinator.grant(model.now, 1_000, &model.terms);
+    let drained = model.coordinator.grant(model.now, 1_000, &model.policy);
     assert!(drained.amount >= 1);
-    let refused = model.coordinator.grant(model.now, 1, &model.terms);
+    let refused = model.coordinator.grant(model.now, 1, &model.policy);
     assert_eq!(refused.amount, 0);
     let later = model.now + refused.retry_after + Duration::from_millis(1);
-    let granted = model.coordinator.grant(later, 1, &model.terms);
+    let granted = model.coordinator.grant(later, 1, &model.policy);
     assert_eq!(granted.amount, 1);
 }
 
@@ -224,13 +224,13 @@
     model.now += Duration::from_secs(60);
     let full = model
         .coordinator
-        .grant(model.now, 1_000, &model.terms)
+        .grant(model.now, 1_000, &model.policy)
         .amount;
-    model.coordinator.give_back(3, &model.terms);
-    let again = model.coordinator.grant(model.now, 1_000, &model.terms);
+    model.coordinator.give_back(3, &model.policy);
+    let again = model.coordinator.grant(model.now, 1_000, &model.policy);
     assert_eq!(again.amount, 3);
-    model.coordinator.give_back(10_000, &model.terms);
-    let most = model.coordinator.grant(model.now, 10_000, &model.terms);
+    model.coordinator.give_back(10_000, &model.policy);
+    let most = model.coordinator.grant(model.now, 10_000, &model.policy);
     assert_eq!(most.amount, full);
     let mut held = HeldBudget::default();
     held.not_run();
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantTerms, HeldBudget, Spending, GrantRole,
+    CoordinatedBudget, Grant, GrantPolicy, HeldBudget, Spending, GrantRole,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack, InheritedPart};
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
@@ -57,7 +57,7 @@
             burst: rate / 5.0,
         };
         let coordinator = || Coordinator {
-            budget: CoordinatedBudget::new(now, &terms(limit, 0.0)),
+            budget: CoordinatedBudget::new(now, &policy(limit, 0.0)),
             parts: AskerParts::default(),
         };
         let node = |(demand, is_cut_off): &(f64, bool)| Node {
@@ -125,8 +125,8 @@
     }
 }
 
-fn terms(limit: RateLimit, held_back: f64) -> GrantTerms {
-    GrantTerms {
+fn policy(limit: RateLimit, held_back: f64) -> GrantPolicy {
+    GrantPolicy {
         limit,
         in_window: RULES.window_limit(limit),
         window: RULES.window,
@@ -171,8 +171,8 @@
         cut_off,
         inherited: coordinator.parts.inherited(),
     };
-    let terms = terms(limit, held_back.of(limit));
-    let grant = coordinator.budget.grant(now, wanted, &terms);
+    let policy = policy(limit, held_back.of(limit));
+    let grant = coordinator.budget.grant(now, wanted, &policy);
     coordinator.parts.granted(index, wanted, grant.amount, now);
     grant
 }
--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -7,7 +7,7 @@
 
 use linkhold_core::tenancy::TenantName;
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, REDIRECT_PERIOD, Grant, GrantTerms, GrantRole,
+    CoordinatedBudget, REDIRECT_PERIOD, Grant, GrantPolicy, GrantRole,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack};
 use linkhold_events::Event;
@@ -137,7 +137,7 @@
     let mut parts = known.map_or_else(AskerParts::default, |it| std::mem::take(&mut it.parts));
     parts.asked(requester, inherited, now);
     let held_back = held_back(environment, &mut parts, now);
-    let Some(terms) = terms(environment, tenant, rank, predecessors_lost, held_back) else {
+    let Some(policy) = policy(environment, tenant, rank, predecessors_lost, held_back) else {
         return Grant {
             amount: 0,
             retry_after: UNKNOWN_TENANT_RETRY,
@@ -146,20 +146,20 @@
     let entry = budgets
         .entry(tenant.clone())
         .or_insert_with(|| CoordinatedTenant {
-            budget: CoordinatedBudget::new(now, &terms),
-            role: terms.role,
+            budget: CoordinatedBudget::new(now, &policy),
+            role: policy.role,
             checked_at: None,
             predecessors_lost: false,
             parts: AskerParts::default(),
         });
-    if entry.role != terms.role {
-        entry.budget = CoordinatedBudget::new(now, &terms);
-        entry.role = terms.role;
-        log_role(tenant, terms.role, rank);
+    if entry.role != policy.role {
+        entry.budget = CoordinatedBudget::new(now, &policy);
+        entry.role = policy.role;
+        log_role(tenant, policy.role, rank);
     }
-    entry.budget.give_back(request.unused, &terms);
+    entry.budget.give_back(request.unused, &policy);
     let wanted = request.wanted;
-    let grant = entry.budget.grant(now, wanted, &terms);
+    let grant = entry.budget.grant(now, wanted, &policy);
     parts.granted(requester, wanted, grant.amount, now);
     entry.parts = parts;
     let is_due = entry.checked_at.is_none_or(|at| now >= at + CHECK_INTERVAL);
@@ -171,16 +171,16 @@
     grant
 }
 
-fn terms<E: BudgetEnvironment>(
+fn policy<E: BudgetEnvironment>(
     environment: &Arc<E>,
     tenant: &str,
     rank: Option<usize>,
     predecessors_lost: bool,
     held_back: HeldBack,
-) -> Option<GrantTerms> {
+) -> Option<GrantPolicy> {
     let rules = environment.quota_rules()?;
     let limit = environment.limit(tenant)?;
-    Some(GrantTerms {
+    Some(GrantPolicy {
         limit,
         in_window: rules.window_limit(limit),
         window: rules.window,
