--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -127,12 +127,12 @@
 
 /// A tenant's budget at its coordinator.
 #[derive(Clone, Debug)]
-pub struct CoordinatedBudget {
+pub struct TokenBucket {
     level: f64,
     filled_at: Instant,
 }
 
-impl CoordinatedBudget {
+impl TokenBucket {
     /// A new bucket.
     pub fn new(now: Instant, policy: &GrantPolicy) -> Self {
         Self {
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantPolicy, HeldBudget, GRANT_LIFETIME, Spending, GrantRole, MAX_VIEW_AGE,
+    TokenBucket, Grant, GrantPolicy, HeldBudget, GRANT_LIFETIME, Spending, GrantRole, MAX_VIEW_AGE,
 };
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
@@ -58,8 +58,8 @@
     now: Instant,
     policy: GrantPolicy,
     stand_in_policy: GrantPolicy,
-    coordinator: CoordinatedBudget,
-    stand_in: CoordinatedBudget,
+    coordinator: TokenBucket,
+    stand_in: TokenBucket,
     /// When coordinators took over lately.
     successions: Vec<Instant>,
     spent: Vec<(Instant, u64)>,
@@ -74,8 +74,8 @@
             now,
             policy: coordinating,
             stand_in_policy: standing_in,
-            coordinator: CoordinatedBudget::new(now, &coordinating),
-            stand_in: CoordinatedBudget::new(now, &standing_in),
+            coordinator: TokenBucket::new(now, &coordinating),
+            stand_in: TokenBucket::new(now, &standing_in),
             successions: vec![now],
             spent: Vec::new(),
         }
@@ -116,7 +116,7 @@
             .retain(|at| now < *at + RULES.window + GRANT_LIFETIME);
         if self.successions.len() < 2 {
             self.successions.push(now);
-            self.coordinator = CoordinatedBudget::new(now, &self.policy);
+            self.coordinator = TokenBucket::new(now, &self.policy);
         }
     }
 
@@ -176,7 +176,7 @@
 fn two_coordinators_at_a_time_exceed_the_limit() {
     // What the module says it cannot prevent, so that the model would show it.
     let mut model = Model::new(40.0, 40.0);
-    let mut second = CoordinatedBudget::new(model.now, &model.policy);
+    let mut second = TokenBucket::new(model.now, &model.policy);
     for _ in 0..1_000 {
         model.run(&[
             Step::Pass(20),
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantPolicy, HeldBudget, Spending, GrantRole,
+    TokenBucket, Grant, GrantPolicy, HeldBudget, Spending, GrantRole,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack, InheritedPart};
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
@@ -28,7 +28,7 @@
 }
 
 struct Coordinator {
-    budget: CoordinatedBudget,
+    budget: TokenBucket,
     parts: AskerParts<usize>,
 }
 
@@ -57,7 +57,7 @@
             burst: rate / 5.0,
         };
         let coordinator = || Coordinator {
-            budget: CoordinatedBudget::new(now, &policy(limit, 0.0)),
+            budget: TokenBucket::new(now, &policy(limit, 0.0)),
             parts: AskerParts::default(),
         };
         let node = |(demand, is_cut_off): &(f64, bool)| Node {
--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -7,7 +7,7 @@
 
 use linkhold_core::tenancy::TenantName;
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, REDIRECT_PERIOD, Grant, GrantPolicy, GrantRole,
+    TokenBucket, REDIRECT_PERIOD, Grant, GrantPolicy, GrantRole,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack};
 use linkhold_events::Event;
@@ -47,7 +47,7 @@
 
 /// The budget that this node grants from for a tenant.
 struct CoordinatedTenant {
-    budget: CoordinatedBudget,
+    budget: TokenBucket,
     role: GrantRole,
     /// When the other coordinators were last checked.
     checked_at: Option<Instant>,
@@ -146,14 +146,14 @@
     let entry = budgets
         .entry(tenant.clone())
         .or_insert_with(|| CoordinatedTenant {
-            budget: CoordinatedBudget::new(now, &policy),
+            budget: TokenBucket::new(now, &policy),
             role: policy.role,
             checked_at: None,
             predecessors_lost: false,
             parts: AskerParts::default(),
         });
     if entry.role != policy.role {
-        entry.budget = CoordinatedBudget::new(now, &policy);
+        entry.budget = TokenBucket::new(now, &policy);
         entry.role = policy.role;
         log_role(tenant, policy.role, rank);
     }
