--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -153,7 +153,7 @@
     }
 
     /// Operations that were granted and certainly did not run.
-    pub fn give_back(&mut self, amount: u64, policy: &GrantPolicy) {
+    pub fn return_unused(&mut self, amount: u64, policy: &GrantPolicy) {
         self.level = (self.level + amount as f64).min(policy.capacity());
     }
 
@@ -189,7 +189,7 @@
 
 /// A tenant's budget at a node that spends it.
 #[derive(Clone, Debug, Default)]
-pub struct HeldBudget {
+pub struct NodeBudget {
     tokens: ExpiringCount,
     /// What was spent lately.
     spent: ExpiringCount,
@@ -202,7 +202,7 @@
     short_at: Option<Instant>,
 }
 
-impl HeldBudget {
+impl NodeBudget {
     /// Spends one operation if there is one.
     pub fn spend(&mut self, now: Instant) -> Spending {
         if self.tokens.take_one(now) {
@@ -217,7 +217,7 @@
 
     /// Operations to ask for where `waiting` wait: these, and as many as will
     /// surely come while the grant lasts, by what was spent lately.
-    pub fn need(&mut self, now: Instant, waiting: u64) -> u64 {
+    pub fn operations_to_request(&mut self, now: Instant, waiting: u64) -> u64 {
         let recent = self.spent.total(now) as f64;
         let coming = recent * GRANT_LIFETIME.as_secs_f64() / NEED_WINDOW.as_secs_f64();
         self.wanted = waiting.max(1) + coming.floor() as u64;
@@ -226,7 +226,7 @@
 
     /// An operation did certainly not run. It is not spent anew here: its life may
     /// be over.
-    pub fn not_run(&mut self) {
+    pub fn record_not_run(&mut self) {
         self.unused += 1;
     }
 
@@ -247,7 +247,7 @@
 
     /// A budget was granted in answer to a question that was sent at `asked_at`.
     /// Its life counts from there, since the coordinator counts from later.
-    pub fn granted(&mut self, asked_at: Instant, grant: Grant) {
+    pub fn record_grant(&mut self, asked_at: Instant, grant: Grant) {
         self.tokens.add(asked_at + GRANT_LIFETIME, grant.amount);
         self.refused_until = (grant.amount == 0).then(|| asked_at + grant.retry_after);
         if grant.amount < self.wanted {
--- a/crates/linkhold-core/src/tenancy/parts.rs
+++ b/crates/linkhold-core/src/tenancy/parts.rs
@@ -88,7 +88,7 @@
         };
     }
 
-    fn granted(&mut self, granted: u64, now: Instant) {
+    fn record_grant(&mut self, granted: u64, now: Instant) {
         self.granted.add(now + MEASURED, granted);
         self.rate = self.granted.total(now) as f64 / MEASURED.as_secs_f64();
     }
@@ -128,11 +128,11 @@
     }
 
     /// A node that asked for so many operations was granted so many.
-    pub fn granted(&mut self, asker: A, wanted: u64, granted: u64, now: Instant) {
+    pub fn record_grant(&mut self, asker: A, wanted: u64, granted: u64, now: Instant) {
         if granted < wanted {
             self.pressed_at = Some(now);
         }
-        self.part(asker, now).granted(granted, now);
+        self.part(asker, now).record_grant(granted, now);
     }
 
     fn part(&mut self, asker: A, now: Instant) -> &mut AskerPart {
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    TokenBucket, Grant, GrantPolicy, HeldBudget, GRANT_LIFETIME, Spending, GrantRole, MAX_VIEW_AGE,
+    TokenBucket, Grant, GrantPolicy, NodeBudget, GRANT_LIFETIME, Spending, GrantRole, MAX_VIEW_AGE,
 };
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
@@ -226,15 +226,15 @@
         .coordinator
         .grant(model.now, 1_000, &model.policy)
         .amount;
-    model.coordinator.give_back(3, &model.policy);
+    model.coordinator.return_unused(3, &model.policy);
     let again = model.coordinator.grant(model.now, 1_000, &model.policy);
     assert_eq!(again.amount, 3);
-    model.coordinator.give_back(10_000, &model.policy);
+    model.coordinator.return_unused(10_000, &model.policy);
     let most = model.coordinator.grant(model.now, 10_000, &model.policy);
     assert_eq!(most.amount, full);
-    let mut held = HeldBudget::default();
-    held.not_run();
-    held.not_run();
+    let mut held = NodeBudget::default();
+    held.record_not_run();
+    held.record_not_run();
     assert_eq!((held.take_unused(), held.take_unused()), (2, 0));
 }
 
@@ -253,22 +253,22 @@
 #[test]
 fn budgets_at_a_node_lapse_and_refusals_are_remembered() {
     let start = Instant::now();
-    let mut held = HeldBudget::default();
+    let mut held = NodeBudget::default();
     assert_eq!(held.spend(start), Spending::Ask);
-    assert_eq!(held.need(start, 1), 1);
+    assert_eq!(held.operations_to_request(start, 1), 1);
     let grant = |amount| Grant {
         amount,
         retry_after: Duration::from_millis(200),
     };
-    held.granted(start, grant(20));
+    held.record_grant(start, grant(20));
     for _ in 0..10 {
         assert_eq!(held.spend(start), Spending::Granted);
     }
     let lapsed = start + GRANT_LIFETIME;
     assert_eq!(held.spend(lapsed), Spending::Ask);
     // Ten in a second and a half are two in the life of a grant.
-    assert_eq!(held.need(lapsed, 1), 3);
-    held.granted(lapsed, grant(0));
+    assert_eq!(held.operations_to_request(lapsed, 1), 3);
+    held.record_grant(lapsed, grant(0));
     let soon = lapsed + Duration::from_millis(150);
     let left = Duration::from_millis(50);
     assert_eq!(held.spend(soon), Spending::Refused(left));
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    TokenBucket, Grant, GrantPolicy, HeldBudget, Spending, GrantRole,
+    TokenBucket, Grant, GrantPolicy, NodeBudget, Spending, GrantRole,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack, InheritedPart};
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
@@ -33,7 +33,7 @@
 }
 
 struct Node {
-    budget: HeldBudget,
+    budget: NodeBudget,
     inherited: Option<InheritedPart>,
     is_cut_off: bool,
     /// Operations a second that its callers ask for.
@@ -61,7 +61,7 @@
             parts: AskerParts::default(),
         };
         let node = |(demand, is_cut_off): &(f64, bool)| Node {
-            budget: HeldBudget::default(),
+            budget: NodeBudget::default(),
             inherited: None,
             is_cut_off: *is_cut_off,
             demand: *demand,
@@ -102,7 +102,7 @@
                         is_split,
                         now,
                     );
-                    node.budget.granted(now, grant);
+                    node.budget.record_grant(now, grant);
                     if node.budget.spend(now) == Spending::Granted {
                         self.spent.push(now);
                     }
@@ -144,7 +144,7 @@
     now: Instant,
 ) -> Grant {
     let turns = is_split && node.is_cut_off;
-    let wanted = node.budget.need(now, 1);
+    let wanted = node.budget.operations_to_request(now, 1);
     let mut inherited = None;
     if turns && mechanisms.inherits {
         let rate = node.budget.recent_rate(now);
@@ -173,7 +173,7 @@
     };
     let policy = policy(limit, held_back.of(limit));
     let grant = coordinator.budget.grant(now, wanted, &policy);
-    coordinator.parts.granted(index, wanted, grant.amount, now);
+    coordinator.parts.record_grant(index, wanted, grant.amount, now);
     grant
 }
 
--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -157,10 +157,10 @@
         entry.role = policy.role;
         log_role(tenant, policy.role, rank);
     }
-    entry.budget.give_back(request.unused, &policy);
+    entry.budget.return_unused(request.unused, &policy);
     let wanted = request.wanted;
     let grant = entry.budget.grant(now, wanted, &policy);
-    parts.granted(requester, wanted, grant.amount, now);
+    parts.record_grant(requester, wanted, grant.amount, now);
     entry.parts = parts;
     let is_due = entry.checked_at.is_none_or(|at| now >= at + CHECK_INTERVAL);
     if is_due {
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::outcome::NotRun;
-use linkhold_core::tenancy::budget::{Grant, HeldBudget, Spending};
+use linkhold_core::tenancy::budget::{Grant, NodeBudget, Spending};
 use linkhold_core::tenancy::parts::InheritedPart;
 use linkhold_core::tenancy::{ConnectionHolder, TenantName};
 use linkhold_events::Event;
@@ -43,7 +43,7 @@
 /// The budget of one tenant at this node.
 #[derive(Default)]
 struct TenantBudget {
-    budget: Mutex<HeldBudget>,
+    budget: Mutex<NodeBudget>,
     /// Operations that wait for a budget.
     waiting: AtomicU64,
     /// Held by the operation that requests the next grant.
@@ -128,7 +128,7 @@
     if let Some(tenant) = holder.tenant() {
         let held = lock(&environment.quotas().held).get(tenant).cloned();
         if let Some(held) = held {
-            lock(&held.budget).not_run();
+            lock(&held.budget).record_not_run();
         }
     }
 }
@@ -186,13 +186,13 @@
             let mut budget = lock(&held.budget);
             BudgetRequest {
                 tenant,
-                wanted: budget.need(asked_at, waiting),
+                wanted: budget.operations_to_request(asked_at, waiting),
                 unused: budget.take_unused(),
                 inherited: None,
             }
         };
         let grant = request_grant(environment, held, request, deadline).await?;
-        lock(&held.budget).granted(asked_at, grant);
+        lock(&held.budget).record_grant(asked_at, grant);
     }
 }
 
