--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -178,11 +178,11 @@
 
 /// What a node may do with an operation now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spending {
+pub enum SpendDecision {
     /// It may run.
     Granted,
     /// A budget is to be asked for.
-    Ask,
+    NeedsGrant,
     /// The coordinator had nothing a moment ago; it will not before this.
     Refused(Duration),
 }
@@ -204,14 +204,14 @@
 
 impl NodeBudget {
     /// Spends one operation if there is one.
-    pub fn spend(&mut self, now: Instant) -> Spending {
+    pub fn spend(&mut self, now: Instant) -> SpendDecision {
         if self.tokens.take_one(now) {
             self.spent.add(now + NEED_WINDOW, 1);
-            return Spending::Granted;
+            return SpendDecision::Granted;
         }
         match self.refused_until {
-            Some(until) if now < until => Spending::Refused(until - now),
-            _ => Spending::Ask,
+            Some(until) if now < until => SpendDecision::Refused(until - now),
+            _ => SpendDecision::NeedsGrant,
         }
     }
 
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    TokenBucket, Grant, GrantPolicy, NodeBudget, GRANT_LIFETIME, Spending, GrantRole, MAX_VIEW_AGE,
+    TokenBucket, Grant, GrantPolicy, NodeBudget, GRANT_LIFETIME, SpendDecision, GrantRole, MAX_VIEW_AGE,
 };
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
@@ -254,7 +254,7 @@
 fn budgets_at_a_node_lapse_and_refusals_are_remembered() {
     let start = Instant::now();
     let mut held = NodeBudget::default();
-    assert_eq!(held.spend(start), Spending::Ask);
+    assert_eq!(held.spend(start), SpendDecision::NeedsGrant);
     assert_eq!(held.operations_to_request(start, 1), 1);
     let grant = |amount| Grant {
         amount,
@@ -262,15 +262,15 @@
     };
     held.record_grant(start, grant(20));
     for _ in 0..10 {
-        assert_eq!(held.spend(start), Spending::Granted);
+        assert_eq!(held.spend(start), SpendDecision::Granted);
     }
     let lapsed = start + GRANT_LIFETIME;
-    assert_eq!(held.spend(lapsed), Spending::Ask);
+    assert_eq!(held.spend(lapsed), SpendDecision::NeedsGrant);
     // Ten in a second and a half are two in the life of a grant.
     assert_eq!(held.operations_to_request(lapsed, 1), 3);
     held.record_grant(lapsed, grant(0));
     let soon = lapsed + Duration::from_millis(150);
     let left = Duration::from_millis(50);
-    assert_eq!(held.spend(soon), Spending::Refused(left));
-    assert_eq!(held.spend(soon + left), Spending::Ask);
+    assert_eq!(held.spend(soon), SpendDecision::Refused(left));
+    assert_eq!(held.spend(soon + left), SpendDecision::NeedsGrant);
 }
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    TokenBucket, Grant, GrantPolicy, NodeBudget, Spending, GrantRole,
+    TokenBucket, Grant, GrantPolicy, NodeBudget, SpendDecision, GrantRole,
 };
 use linkhold_core::tenancy::parts::{AskerParts, HeldBack, InheritedPart};
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
@@ -91,9 +91,9 @@
         while node.pending >= 1.0 {
             node.pending -= 1.0;
             match node.budget.spend(now) {
-                Spending::Granted => self.spent.push(now),
-                Spending::Refused(_) => {}
-                Spending::Ask => {
+                SpendDecision::Granted => self.spent.push(now),
+                SpendDecision::Refused(_) => {}
+                SpendDecision::NeedsGrant => {
                     let grant = ask(
                         node,
                         index,
@@ -103,7 +103,7 @@
                         now,
                     );
                     node.budget.record_grant(now, grant);
-                    if node.budget.spend(now) == Spending::Granted {
+                    if node.budget.spend(now) == SpendDecision::Granted {
                         self.spent.push(now);
                     }
                 }
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::outcome::NotRun;
-use linkhold_core::tenancy::budget::{Grant, NodeBudget, Spending};
+use linkhold_core::tenancy::budget::{Grant, NodeBudget, SpendDecision};
 use linkhold_core::tenancy::parts::InheritedPart;
 use linkhold_core::tenancy::{ConnectionHolder, TenantName};
 use linkhold_events::Event;
@@ -198,9 +198,9 @@
 
 fn try_spend(held: &TenantBudget) -> Option<Result<(), NotRun>> {
     match lock(&held.budget).spend(Instant::now()) {
-        Spending::Granted => Some(Ok(())),
-        Spending::Refused(retry_after) => Some(Err(NotRun::OverQuota { retry_after })),
-        Spending::Ask => None,
+        SpendDecision::Granted => Some(Ok(())),
+        SpendDecision::Refused(retry_after) => Some(Err(NotRun::OverQuota { retry_after })),
+        SpendDecision::NeedsGrant => None,
     }
 }
 
