--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -236,7 +236,7 @@
     }
 
     /// Whether the tenant asked for more than it has a moment ago.
-    pub fn presses(&self, now: Instant) -> bool {
+    pub fn is_saturated(&self, now: Instant) -> bool {
         self.short_at.is_some_and(|at| now < at + NEED_WINDOW)
     }
 
--- a/crates/linkhold-core/src/tenancy/parts.rs
+++ b/crates/linkhold-core/src/tenancy/parts.rs
@@ -153,8 +153,8 @@
     /// reached, and its process is not known to have ended.
     pub fn held_back(&mut self, now: Instant, may_ask_another: impl Fn(&A) -> bool) -> f64 {
         self.parts.retain(|_, part| now < part.asked_at + HOLD);
-        let presses = self.pressed_at.is_some_and(|at| now < at + PRESSING);
-        if !presses {
+        let is_saturated = self.pressed_at.is_some_and(|at| now < at + PRESSING);
+        if !is_saturated {
             return 0.0;
         }
         let silent = self.parts.iter().filter(|(_, part)| part.is_silent(now));
@@ -192,10 +192,10 @@
 
 impl InheritedPart {
     /// The part of a node that spent `rate` operations a second until now. Where the tenant
-    /// presses, the first coordinator may still grant it to others for a while.
-    pub fn new(rate: f64, presses: bool, now: Instant) -> Self {
+    /// is_saturated, the first coordinator may still grant it to others for a while.
+    pub fn new(rate: f64, is_saturated: bool, now: Instant) -> Self {
         let rate = rate.max(FIRST_PART);
-        if presses {
+        if is_saturated {
             return Self {
                 rate: rate * PRESSED_PART,
                 begins_at: now + TURNING_TIME,
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -148,10 +148,10 @@
     let mut inherited = None;
     if turns && mechanisms.inherits {
         let rate = node.budget.recent_rate(now);
-        let presses = node.budget.presses(now);
+        let is_saturated = node.budget.is_saturated(now);
         let part = node
             .inherited
-            .get_or_insert_with(|| InheritedPart::new(rate, presses, now));
+            .get_or_insert_with(|| InheritedPart::new(rate, is_saturated, now));
         if part.begins_at(now).is_some() {
             return Grant {
                 amount: 0,
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -57,11 +57,11 @@
     /// unreached.
     fn inherited_part(&self) -> InheritedPart {
         let now = Instant::now();
-        let (rate, presses) = {
+        let (rate, is_saturated) = {
             let mut budget = lock(&self.budget);
-            (budget.recent_rate(now), budget.presses(now))
+            (budget.recent_rate(now), budget.is_saturated(now))
         };
-        *lock(&self.inherited).get_or_insert_with(|| InheritedPart::new(rate, presses, now))
+        *lock(&self.inherited).get_or_insert_with(|| InheritedPart::new(rate, is_saturated, now))
     }
 }
 
