--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -19,7 +19,7 @@
 //!   there ([`BudgetAnswer::Elsewhere`] in the shell).
 //!
 //! * Two coordinators that both live, each reached by a part of the fleet and not by each
-//!   other, grant each part no more than it had ([`super::parts`]).
+//!   other, grant each part no more than it had ([`super::shares`]).
 
 use std::time::{Duration, Instant};
 
@@ -81,8 +81,8 @@
     /// As what the node grants.
     pub role: GrantRole,
     /// Operations a second that are kept for nodes which may ask another coordinator
-    /// ([`super::parts`]).
-    pub held_back: f64,
+    /// ([`super::shares`]).
+    pub reserved_rate: f64,
 }
 
 impl GrantPolicy {
@@ -109,7 +109,7 @@
         match self.role {
             GrantRole::Coordinator => {
                 let rate = self.limit.rate_per_second;
-                (rate - self.held_back).max(rate * LEAST_FILLED_PART)
+                (rate - self.reserved_rate).max(rate * LEAST_FILLED_PART)
             }
             GrantRole::StandIn => self.reserve() * STAND_IN_PART / self.window.as_secs_f64() / 2.0,
         }
--- a/crates/linkhold-core/src/tenancy/mod.rs
+++ b/crates/linkhold-core/src/tenancy/mod.rs
@@ -4,8 +4,8 @@
 
 pub mod budget;
 pub mod credential;
-pub mod parts;
 pub mod rate;
+pub mod shares;
 pub mod tenant;
 
 pub use credential::Credential;
--- a/crates/linkhold-core/src/tenancy/parts.rs
+++ b/crates/linkhold-core/src/tenancy/shares.rs
@@ -2,9 +2,9 @@
 //!
 //! A partition may leave a tenant's coordinator with some nodes only; the others turn to
 //! the next one. Neither can tell that the other goes on, so both keep to what their side
-//! had: a node that turns to another coordinator tells it the part that it had
-//! ([`InheritedPart`]), which grants the sum of these and no more, and a coordinator that
-//! nodes no longer ask gives their parts to nobody ([`AskerParts`]). Both end when the
+//! had: a node that turns to another coordinator tells it the share that it had
+//! ([`InheritedShare`]), which grants the sum of these and no more, and a coordinator that
+//! nodes no longer ask gives their shares to nobody ([`RequesterShares`]). Both end when the
 //! fleet's list has changed, by which time a coordinator that is cut off grants as a stand-in
 //! alone.
 //!
@@ -15,7 +15,7 @@
 //!
 //! # What can exceed the limit
 //!
-//! A node that asks less than once a second is not missed: its part may be granted twice. A
+//! A node that asks less than once a second is not missed: its share may be granted twice. A
 //! tenant that begins to press on both sides at once has them measured from there.
 
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 use super::tenant::RateLimit;
 use crate::service::readers::ROW_EXPIRY;
 
-/// How far back a node's part, and how often it asks, is measured.
+/// How far back a node's share, and how often it asks, is measured.
 const MEASURED: Duration = Duration::from_millis(2_000);
 /// How long a tenant counts as pressing after a coordinator had less than was wanted. One
 /// that does not press has room for two coordinators, so nothing is held back.
@@ -39,30 +39,30 @@
 const PAUSES: f64 = 2.0;
 /// Questions from which it is known how often a node asks.
 const LEAST_QUESTIONS: u64 = 2;
-/// How long a part is held back: until the fleet's list no longer holds a node that is gone.
+/// How long a share is held back: until the fleet's list no longer holds a node that is gone.
 const HOLD: Duration = ROW_EXPIRY;
 /// Operations a second that a node may have that had none before.
 const FIRST_PART: f64 = 1.0;
-/// Of what a node spent while its tenant pressed, what it counts as its part: spending comes in
+/// Of what a node spent while its tenant pressed, what it counts as its share: spending comes in
 /// bursts, and what all nodes measure at their own moments adds up to more than the rate.
 const PRESSED_PART: f64 = 0.9;
-/// By how much a node may exceed its part where the tenant does not press.
+/// By how much a node may exceed its share where the tenant does not press.
 const ROOM: f64 = 1.25;
 
 /// What one node was granted lately.
 #[derive(Clone, Debug)]
-struct AskerPart {
+struct NodeShare {
     granted: ExpiringCount,
     questions: ExpiringCount,
     /// When it asked last, and how often and what it was granted by then, a second.
     asked_at: Instant,
     questions_a_second: f64,
     rate: f64,
-    /// The part that it had of the first coordinator, if it turned from that one.
+    /// The share that it had of the first coordinator, if it turned from that one.
     inherited: Option<f64>,
 }
 
-impl AskerPart {
+impl NodeShare {
     fn new(now: Instant) -> Self {
         Self {
             granted: ExpiringCount::default(),
@@ -74,7 +74,7 @@
         }
     }
 
-    fn asked(&mut self, inherited: Option<f64>, now: Instant) {
+    fn record_request(&mut self, inherited: Option<f64>, now: Instant) {
         self.inherited = inherited;
         self.questions.add(now + MEASURED, 1);
         self.asked_at = now;
@@ -105,67 +105,67 @@
 
 /// Parts of the nodes that ask a coordinator.
 #[derive(Clone, Debug)]
-pub struct AskerParts<A> {
-    parts: HashMap<A, AskerPart>,
+pub struct RequesterShares<A> {
+    shares: HashMap<A, NodeShare>,
     /// When less was granted than was wanted.
     pressed_at: Option<Instant>,
 }
 
-impl<A> Default for AskerParts<A> {
+impl<A> Default for RequesterShares<A> {
     fn default() -> Self {
         Self {
-            parts: HashMap::new(),
+            shares: HashMap::new(),
             pressed_at: None,
         }
     }
 }
 
-impl<A: Clone + Eq + Hash> AskerParts<A> {
-    /// A node asks; `inherited` is the part that it had of the first coordinator, if it turned
+impl<A: Clone + Eq + Hash> RequesterShares<A> {
+    /// A node asks; `inherited` is the share that it had of the first coordinator, if it turned
     /// from that one.
-    pub fn asked(&mut self, asker: A, inherited: Option<f64>, now: Instant) {
-        self.part(asker, now).asked(inherited, now);
+    pub fn record_request(&mut self, requester: A, inherited: Option<f64>, now: Instant) {
+        self.share(requester, now).record_request(inherited, now);
     }
 
     /// A node that asked for so many operations was granted so many.
-    pub fn record_grant(&mut self, asker: A, wanted: u64, granted: u64, now: Instant) {
+    pub fn record_grant(&mut self, requester: A, wanted: u64, granted: u64, now: Instant) {
         if granted < wanted {
             self.pressed_at = Some(now);
         }
-        self.part(asker, now).record_grant(granted, now);
+        self.share(requester, now).record_grant(granted, now);
     }
 
-    fn part(&mut self, asker: A, now: Instant) -> &mut AskerPart {
-        self.parts
-            .entry(asker)
-            .or_insert_with(|| AskerPart::new(now))
+    fn share(&mut self, requester: A, now: Instant) -> &mut NodeShare {
+        self.shares
+            .entry(requester)
+            .or_insert_with(|| NodeShare::new(now))
     }
 
     /// Operations a second that the nodes which turned to this coordinator had of the first:
     /// it grants these to any of them. `None` if none did.
-    pub fn inherited(&self) -> Option<f64> {
-        let inherited = self.parts.values().filter_map(|part| part.inherited);
-        inherited.reduce(|sum, part| sum + part)
+    pub fn inherited_rate(&self) -> Option<f64> {
+        let inherited = self.shares.values().filter_map(|share| share.inherited);
+        inherited.reduce(|sum, share| sum + share)
     }
 
     /// Operations a second that are to be held back for nodes which may ask another
     /// coordinator. `may_ask_another` tells whether one that is silent does: it is not
     /// reached, and its process is not known to have ended.
-    pub fn held_back(&mut self, now: Instant, may_ask_another: impl Fn(&A) -> bool) -> f64 {
-        self.parts.retain(|_, part| now < part.asked_at + HOLD);
+    pub fn reserved_rate(&mut self, now: Instant, may_ask_another: impl Fn(&A) -> bool) -> f64 {
+        self.shares.retain(|_, share| now < share.asked_at + HOLD);
         let is_saturated = self.pressed_at.is_some_and(|at| now < at + PRESSING);
         if !is_saturated {
             return 0.0;
         }
-        let silent = self.parts.iter().filter(|(_, part)| part.is_silent(now));
-        let cut_off = silent.filter(|(asker, _)| may_ask_another(asker));
-        cut_off.map(|(_, part)| part.rate).sum()
+        let silent = self.shares.iter().filter(|(_, share)| share.is_silent(now));
+        let cut_off = silent.filter(|(requester, _)| may_ask_another(requester));
+        cut_off.map(|(_, share)| share.rate).sum()
     }
 }
 
 /// What a coordinator does not grant, since another one may.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct HeldBack {
+pub struct ReservedRate {
     /// Operations a second that nodes had which are cut off.
     pub cut_off: f64,
     /// Operations a second that the nodes which turned to this coordinator had of the first;
@@ -173,25 +173,27 @@
     pub inherited: Option<f64>,
 }
 
-impl HeldBack {
+impl ReservedRate {
     /// Of a limit, operations a second that are not granted.
     pub fn of(&self, limit: RateLimit) -> f64 {
         let rate = limit.rate_per_second;
-        let others = self.inherited.map_or(0.0, |parts| (rate - parts).max(0.0));
+        let others = self
+            .inherited
+            .map_or(0.0, |shares| (rate - shares).max(0.0));
         self.cut_off + others
     }
 }
 
 /// What a node had of the first coordinator, for the one to which it turns.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct InheritedPart {
+pub struct InheritedShare {
     /// Operations a second.
     pub rate: f64,
     begins_at: Instant,
 }
 
-impl InheritedPart {
-    /// The part of a node that spent `rate` operations a second until now. Where the tenant
+impl InheritedShare {
+    /// The share of a node that spent `rate` operations a second until now. Where the tenant
     /// is_saturated, the first coordinator may still grant it to others for a while.
     pub fn new(rate: f64, is_saturated: bool, now: Instant) -> Self {
         let rate = rate.max(FIRST_PART);
@@ -207,7 +209,7 @@
         }
     }
 
-    /// When the part begins, unless it has.
+    /// When the share begins, unless it has.
     pub fn begins_at(&self, now: Instant) -> Option<Instant> {
         (now < self.begins_at).then_some(self.begins_at)
     }
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    TokenBucket, Grant, GrantPolicy, NodeBudget, GRANT_LIFETIME, SpendDecision, GrantRole, MAX_VIEW_AGE,
+    GRANT_LIFETIME, Grant, GrantPolicy, GrantRole, MAX_VIEW_AGE, NodeBudget, SpendDecision,
+    TokenBucket,
 };
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
@@ -50,7 +51,7 @@
         in_window: RULES.window_limit(limit),
         window: RULES.window,
         role,
-        held_back: 0.0,
+        reserved_rate: 0.0,
     }
 }
 
@@ -101,7 +102,9 @@
                     wanted,
                     spent_after,
                 } => {
-                    let grant = self.stand_in.grant(self.now, *wanted, &self.stand_in_policy);
+                    let grant = self
+                        .stand_in
+                        .grant(self.now, *wanted, &self.stand_in_policy);
                     self.spend(grant, *spent_after);
                 }
                 Step::Succeed => self.succeed(),
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    TokenBucket, Grant, GrantPolicy, NodeBudget, SpendDecision, GrantRole,
+    Grant, GrantPolicy, GrantRole, NodeBudget, SpendDecision, TokenBucket,
 };
-use linkhold_core::tenancy::parts::{AskerParts, HeldBack, InheritedPart};
+use linkhold_core::tenancy::shares::{InheritedShare, RequesterShares, ReservedRate};
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
 
@@ -29,12 +29,12 @@
 
 struct Coordinator {
     budget: TokenBucket,
-    parts: AskerParts<usize>,
+    shares: RequesterShares<usize>,
 }
 
 struct Node {
     budget: NodeBudget,
-    inherited: Option<InheritedPart>,
+    inherited: Option<InheritedShare>,
     is_cut_off: bool,
     /// Operations a second that its callers ask for.
     demand: f64,
@@ -58,7 +58,7 @@
         };
         let coordinator = || Coordinator {
             budget: TokenBucket::new(now, &policy(limit, 0.0)),
-            parts: AskerParts::default(),
+            shares: RequesterShares::default(),
         };
         let node = |(demand, is_cut_off): &(f64, bool)| Node {
             budget: NodeBudget::default(),
@@ -125,13 +125,13 @@
     }
 }
 
-fn policy(limit: RateLimit, held_back: f64) -> GrantPolicy {
+fn policy(limit: RateLimit, reserved_rate: f64) -> GrantPolicy {
     GrantPolicy {
         limit,
         in_window: RULES.window_limit(limit),
         window: RULES.window,
         role: GrantRole::Coordinator,
-        held_back,
+        reserved_rate,
     }
 }
 
@@ -149,31 +149,33 @@
     if turns && mechanisms.inherits {
         let rate = node.budget.recent_rate(now);
         let is_saturated = node.budget.is_saturated(now);
-        let part = node
+        let share = node
             .inherited
-            .get_or_insert_with(|| InheritedPart::new(rate, is_saturated, now));
-        if part.begins_at(now).is_some() {
+            .get_or_insert_with(|| InheritedShare::new(rate, is_saturated, now));
+        if share.begins_at(now).is_some() {
             return Grant {
                 amount: 0,
                 retry_after: STEP,
             };
         }
-        inherited = Some(part.rate);
+        inherited = Some(share.rate);
     }
     let coordinator = &mut coordinators[usize::from(turns)];
     let cut_off = match mechanisms.holds_back {
-        true => coordinator.parts.held_back(now, |_| true),
+        true => coordinator.shares.reserved_rate(now, |_| true),
         false => 0.0,
     };
-    // Of a node that asks for the first time, its own part counts as well.
-    coordinator.parts.asked(index, inherited, now);
-    let held_back = HeldBack {
+    // Of a node that asks for the first time, its own share counts as well.
+    coordinator.shares.record_request(index, inherited, now);
+    let reserved_rate = ReservedRate {
         cut_off,
-        inherited: coordinator.parts.inherited(),
+        inherited: coordinator.shares.inherited_rate(),
     };
-    let policy = policy(limit, held_back.of(limit));
+    let policy = policy(limit, reserved_rate.of(limit));
     let grant = coordinator.budget.grant(now, wanted, &policy);
-    coordinator.parts.record_grant(index, wanted, grant.amount, now);
+    coordinator
+        .shares
+        .record_grant(index, wanted, grant.amount, now);
     grant
 }
 
--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -6,10 +6,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::TenantName;
-use linkhold_core::tenancy::budget::{
-    TokenBucket, REDIRECT_PERIOD, Grant, GrantPolicy, GrantRole,
-};
-use linkhold_core::tenancy::parts::{AskerParts, HeldBack};
+use linkhold_core::tenancy::budget::{Grant, GrantPolicy, GrantRole, REDIRECT_PERIOD, TokenBucket};
+use linkhold_core::tenancy::shares::{RequesterShares, ReservedRate};
 use linkhold_events::Event;
 
 use crate::cluster_state::lock;
@@ -54,7 +52,7 @@
     /// Whether the coordinators before this node gave no answer.
     predecessors_lost: bool,
     /// Shares of the rate that the requesting nodes were granted.
-    parts: AskerParts<Requester>,
+    shares: RequesterShares<Requester>,
 }
 
 /// Another node that has become a tenant's coordinator.
@@ -129,15 +127,17 @@
     let mut budgets = lock(&environment.quotas().coordination.budgets);
     let predecessors_lost = budgets.get(tenant).is_some_and(|it| it.predecessors_lost);
     // If this node is the first coordinator, the requester turned away from the first
-    // one before this node became it, and its inherited part does not apply.
+    // one before this node became it, and its inherited share does not apply.
     let is_first = rank == Some(0);
     let inherited = request.inherited.filter(|_| !is_first);
-    let inherited = inherited.map(|part| part as f64 / THOUSANDTHS);
+    let inherited = inherited.map(|share| share as f64 / THOUSANDTHS);
     let known = budgets.get_mut(tenant);
-    let mut parts = known.map_or_else(AskerParts::default, |it| std::mem::take(&mut it.parts));
-    parts.asked(requester, inherited, now);
-    let held_back = held_back(environment, &mut parts, now);
-    let Some(policy) = policy(environment, tenant, rank, predecessors_lost, held_back) else {
+    let mut shares = known.map_or_else(RequesterShares::default, |it| {
+        std::mem::take(&mut it.shares)
+    });
+    shares.record_request(requester, inherited, now);
+    let reserved_rate = reserved_rate(environment, &mut shares, now);
+    let Some(policy) = policy(environment, tenant, rank, predecessors_lost, reserved_rate) else {
         return Grant {
             amount: 0,
             retry_after: UNKNOWN_TENANT_RETRY,
@@ -150,7 +150,7 @@
             role: policy.role,
             checked_at: None,
             predecessors_lost: false,
-            parts: AskerParts::default(),
+            shares: RequesterShares::default(),
         });
     if entry.role != policy.role {
         entry.budget = TokenBucket::new(now, &policy);
@@ -160,8 +160,8 @@
     entry.budget.return_unused(request.unused, &policy);
     let wanted = request.wanted;
     let grant = entry.budget.grant(now, wanted, &policy);
-    parts.record_grant(requester, wanted, grant.amount, now);
-    entry.parts = parts;
+    shares.record_grant(requester, wanted, grant.amount, now);
+    entry.shares = shares;
     let is_due = entry.checked_at.is_none_or(|at| now >= at + CHECK_INTERVAL);
     if is_due {
         entry.checked_at = Some(now);
@@ -176,7 +176,7 @@
     tenant: &str,
     rank: Option<usize>,
     predecessors_lost: bool,
-    held_back: HeldBack,
+    reserved_rate: ReservedRate,
 ) -> Option<GrantPolicy> {
     let rules = environment.quota_rules()?;
     let limit = environment.limit(tenant)?;
@@ -185,26 +185,26 @@
         in_window: rules.window_limit(limit),
         window: rules.window,
         role: GrantRole::of_rank(rank, environment.view_age(), predecessors_lost),
-        held_back: held_back.of(limit),
+        reserved_rate: reserved_rate.of(limit),
     })
 }
 
 /// The rate that is reserved for nodes which may ask another coordinator.
-fn held_back<E: BudgetEnvironment>(
+fn reserved_rate<E: BudgetEnvironment>(
     environment: &Arc<E>,
-    parts: &mut AskerParts<Requester>,
+    shares: &mut RequesterShares<Requester>,
     now: Instant,
-) -> HeldBack {
-    HeldBack {
-        cut_off: parts.held_back(now, |requester| may_ask_another(environment, requester)),
-        inherited: parts.inherited(),
+) -> ReservedRate {
+    ReservedRate {
+        cut_off: shares.reserved_rate(now, |requester| may_ask_another(environment, requester)),
+        inherited: shares.inherited_rate(),
     }
 }
 
 /// Whether a node that sends no more requests may be cut off and ask another coordinator.
 /// With both coordinators granting the whole rate, a tenant had 3,118 operations in a
 /// window in which 2,983 are allowed. A node that is reached only has callers that pause:
-/// when the parts of such nodes were held back as well, 800 of 60,000 operations of other
+/// when the shares of such nodes were held back as well, 800 of 60,000 operations of other
 /// tenants were refused.
 fn may_ask_another<E: BudgetEnvironment>(environment: &Arc<E>, requester: &Requester) -> bool {
     match requester {
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -14,7 +14,7 @@
 
 use linkhold_core::outcome::NotRun;
 use linkhold_core::tenancy::budget::{Grant, NodeBudget, SpendDecision};
-use linkhold_core::tenancy::parts::InheritedPart;
+use linkhold_core::tenancy::shares::InheritedShare;
 use linkhold_core::tenancy::{ConnectionHolder, TenantName};
 use linkhold_events::Event;
 use linkhold_peer::BudgetMessage;
@@ -37,7 +37,7 @@
 /// Pause before the fleet is checked again while it is not known.
 const FLEET_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Unit of the parts in questions: thousandths of operations per second.
+/// Unit of the shares in questions: thousandths of operations per second.
 pub(super) const THOUSANDTHS: f64 = 1_000.0;
 
 /// The budget of one tenant at this node.
@@ -48,20 +48,20 @@
     waiting: AtomicU64,
     /// Held by the operation that requests the next grant.
     request_turn: TurnMutex<()>,
-    /// The part that the node may spend while the first coordinator is unreached.
-    inherited: Mutex<Option<InheritedPart>>,
+    /// The share that the node may spend while the first coordinator is unreached.
+    inherited: Mutex<Option<InheritedShare>>,
 }
 
 impl TenantBudget {
-    /// The part of the rate that this node had from the first coordinator when that became
+    /// The share of the rate that this node had from the first coordinator when that became
     /// unreached.
-    fn inherited_part(&self) -> InheritedPart {
+    fn inherited_share(&self) -> InheritedShare {
         let now = Instant::now();
         let (rate, is_saturated) = {
             let mut budget = lock(&self.budget);
             (budget.recent_rate(now), budget.is_saturated(now))
         };
-        *lock(&self.inherited).get_or_insert_with(|| InheritedPart::new(rate, is_saturated, now))
+        *lock(&self.inherited).get_or_insert_with(|| InheritedShare::new(rate, is_saturated, now))
     }
 }
 
@@ -73,7 +73,7 @@
     pub wanted: u64,
     /// Number of operations of earlier grants that certainly did not run.
     pub unused: u64,
-    /// The part that the node had from the first coordinator, which it does not reach, in
+    /// The share that the node had from the first coordinator, which it does not reach, in
     /// thousandths of operations per second; `None` if it asks the first coordinator, or
     /// knows that the process of the first coordinator has ended.
     pub inherited: Option<u64>,
@@ -221,12 +221,12 @@
                 predecessor_may_run |= !has_ended(environment, node);
                 continue;
             }
-            let part = predecessor_may_run.then(|| held.inherited_part());
-            if let Some(begins_at) = part.and_then(|part| part.begins_at(Instant::now())) {
+            let share = predecessor_may_run.then(|| held.inherited_share());
+            if let Some(begins_at) = share.and_then(|share| share.begins_at(Instant::now())) {
                 pause = begins_at.saturating_duration_since(Instant::now());
                 break;
             }
-            let inherited = part.map(|part| (part.rate * THOUSANDTHS) as u64);
+            let inherited = share.map(|share| (share.rate * THOUSANDTHS) as u64);
             let request = BudgetRequest {
                 inherited,
                 ..request
