--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -88,7 +88,7 @@
 impl GrantPolicy {
     /// Operations that no window may exceed, less those that are owed.
     fn reserve(&self) -> f64 {
-        self.in_window.most - self.in_window.owed
+        self.in_window.max - self.in_window.guaranteed
     }
 
     /// What the bucket holds at most. A grant may be spent up to [`GRANT_LIFETIME`] later,
--- a/crates/linkhold-core/src/tenancy/rate.rs
+++ b/crates/linkhold-core/src/tenancy/rate.rs
@@ -19,18 +19,18 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowLimit {
     /// Operations that a tenant is owed.
-    pub owed: f64,
+    pub guaranteed: f64,
     /// Operations that may never be exceeded, whatever goes wrong.
-    pub most: f64,
+    pub max: f64,
 }
 
 impl QuotaRules {
     /// What a limit comes to.
     pub fn window_limit(&self, limit: RateLimit) -> WindowLimit {
-        let owed = limit.rate_per_second * self.window.as_secs_f64() + limit.burst;
+        let guaranteed = limit.rate_per_second * self.window.as_secs_f64() + limit.burst;
         WindowLimit {
-            owed,
-            most: owed * (1.0 + self.overshoot) + self.slack,
+            guaranteed,
+            max: guaranteed * (1.0 + self.overshoot) + self.slack,
         }
     }
 }
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -148,7 +148,7 @@
     ) {
         let mut model = Model::new(f64::from(rate), f64::from(burst));
         model.run(&steps);
-        let most = model.policy.in_window.most;
+        let most = model.policy.in_window.max;
         prop_assert!(model.fullest_window() as f64 <= most, "{most}");
     }
 }
@@ -172,7 +172,7 @@
     flood(&mut model, Duration::from_secs(30));
     let spent: u64 = model.spent.iter().map(|(_, amount)| amount).sum();
     assert!(spent as f64 >= 40.0 * 29.0, "{spent}");
-    assert!(model.fullest_window() as f64 <= model.policy.in_window.most);
+    assert!(model.fullest_window() as f64 <= model.policy.in_window.max);
 }
 
 #[test]
@@ -191,7 +191,7 @@
         let grant = second.grant(model.now, 100, &model.policy);
         model.spend(grant, 0);
     }
-    assert!(model.fullest_window() as f64 > model.policy.in_window.most);
+    assert!(model.fullest_window() as f64 > model.policy.in_window.max);
 }
 
 #[test]
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -191,7 +191,7 @@
         rate_per_second: rate,
         burst: rate / 5.0,
     };
-    RULES.window_limit(limit).most
+    RULES.window_limit(limit).max
 }
 
 const ALL: Mechanisms = Mechanisms {
