--- a/crates/linkhold-core/src/tenancy/tenant.rs
+++ b/crates/linkhold-core/src/tenancy/tenant.rs
@@ -14,7 +14,7 @@
 pub type TenantName = Arc<str>;
 
 /// Most bytes of a secret that is taken in.
-pub const LONGEST_SECRET: usize = 1_024;
+pub const MAX_SECRET_BYTES: usize = 1_024;
 
 /// How much a tenant may ask, over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
