--- a/crates/linkhold-core/src/membership/exchange.rs
+++ b/crates/linkhold-core/src/membership/exchange.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::seq::{IndexedRandom, SliceRandom};
 
-use super::member::Statement;
+use super::member::MemberRecord;
 use super::message::Payload;
 use super::protocol::{Membership, Output, Send};
 
@@ -20,7 +20,7 @@
             .members
             .values()
             .filter(|member| !member.is_reachable())
-            .map(|member| member.statement.address)
+            .map(|member| member.record.address)
             .collect();
         outside.extend(&self.seeds);
         let go_outside = reachable.is_empty() || random.random_bool(OUTSIDE_SHARE);
@@ -48,12 +48,12 @@
         u32::try_from(self.members.len() + 1).unwrap_or(u32::MAX)
     }
 
-    /// Digest of all statements, the same for any order.
+    /// Digest of all records, the same for any order.
     pub(super) fn view_digest(&self) -> u64 {
-        let others = self.members.values().map(|member| member.statement);
+        let others = self.members.values().map(|member| member.record);
         others
             .chain([self.own])
-            .map(|statement| statement.digest())
+            .map(|record| record.digest())
             .fold(0, u64::wrapping_add)
     }
 
@@ -73,18 +73,18 @@
             let payload = self.exchange_payload(true);
             self.send(to, payload, output);
         }
-        let mut statements: Vec<Statement> = self
+        let mut records: Vec<MemberRecord> = self
             .members
             .values()
-            .map(|member| member.statement)
+            .map(|member| member.record)
             .collect();
-        statements.shuffle(random);
-        let per_message = self.settings.statements_per_message;
+        records.shuffle(random);
+        let per_message = self.settings.records_per_message;
         let knows_little = known_there < self.known() / 2;
         if !knows_little {
-            statements.truncate(MOST_MESSAGES * per_message);
+            records.truncate(MOST_MESSAGES * per_message);
         }
-        for chunk in statements.chunks(per_message) {
+        for chunk in records.chunks(per_message) {
             let message = self.message(Payload::Gossip, chunk.to_vec());
             output.sends.push(Send { to, message });
         }
--- a/crates/linkhold-core/src/membership/member.rs
+++ b/crates/linkhold-core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! Members and statements about them.
+//! Members and records about them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -36,9 +36,9 @@
     Dead,
 }
 
-/// A statement about a member that travels between nodes.
+/// A record about a member that travels between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Statement {
+pub struct MemberRecord {
     /// Who.
     pub node: NodeId,
     /// Where it receives messages.
@@ -53,7 +53,7 @@
     pub state: MemberState,
 }
 
-impl Statement {
+impl MemberRecord {
     /// Digest of what is stated, for comparing views.
     pub fn digest(&self) -> u64 {
         let mut bytes = [0; 17];
@@ -63,7 +63,7 @@
         xxh3_64(&bytes)
     }
 
-    /// Whether this statement replaces another about the same member.
+    /// Whether this record replaces another about the same member.
     pub fn overrides(&self, other: &Self) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
@@ -72,8 +72,8 @@
 /// A member as one node sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// The newest statement.
-    pub statement: Statement,
+    /// The newest record.
+    pub record: MemberRecord,
     /// When the state was learnt, on the node's monotonic clock.
     pub since: Duration,
 }
@@ -81,13 +81,13 @@
 impl Member {
     /// Whether it can be expected to answer.
     pub fn is_reachable(&self) -> bool {
-        self.statement.state != MemberState::Dead
+        self.record.state != MemberState::Dead
     }
 
     /// Whether duties may be given to it.
     pub fn takes_duties(&self) -> bool {
         matches!(
-            self.statement.state,
+            self.record.state,
             MemberState::Alive | MemberState::Suspect
         )
     }
--- a/crates/linkhold-core/src/membership/message.rs
+++ b/crates/linkhold-core/src/membership/message.rs
@@ -1,6 +1,6 @@
 //! Messages of the membership protocol.
 
-use super::member::{NodeId, Statement};
+use super::member::{NodeId, MemberRecord};
 
 /// What a node tells in every message: the table version it has in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,9 +31,9 @@
         /// Number of the probe.
         number: u64,
     },
-    /// Carries statements only.
+    /// Carries records only.
     Gossip,
-    /// Compares views; statements follow only if they differ.
+    /// Compares views; records follow only if they differ.
     Exchange {
         /// Digest of the sender's view.
         digest: u64,
@@ -48,11 +48,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The sender, as it states itself.
-    pub from: Statement,
+    pub from: MemberRecord,
     /// What it asks or answers.
     pub payload: Payload,
     /// The sender's table.
     pub announcement: Announcement,
     /// Statements about other members.
-    pub statements: Vec<Statement>,
+    pub records: Vec<MemberRecord>,
 }
--- a/crates/linkhold-core/src/membership/mod.rs
+++ b/crates/linkhold-core/src/membership/mod.rs
@@ -13,7 +13,7 @@
 //!
 //! # Invariants
 //!
-//! * Of two statements about a member the one with the higher incarnation
+//! * Of two records about a member the one with the higher incarnation
 //!   holds; with equal incarnations the more severe one. Only the member
 //!   itself raises its incarnation, so it can always refute.
 //! * A live member that hears that it is suspected or dead refutes with a
@@ -26,6 +26,6 @@
 mod protocol;
 mod updates;
 
-pub use member::{Member, MemberState, NodeId, Statement};
+pub use member::{Member, MemberState, NodeId, MemberRecord};
 pub use message::{Announcement, Message, Payload};
 pub use protocol::{Change, Membership, MembershipSettings, Output, Send};
--- a/crates/linkhold-core/src/membership/probing.rs
+++ b/crates/linkhold-core/src/membership/probing.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-use super::member::{MemberState, NodeId, Statement};
+use super::member::{MemberState, NodeId, MemberRecord};
 use super::message::Payload;
 use super::protocol::{Membership, Output};
 
@@ -51,19 +51,19 @@
         if target.state == MemberState::Suspect
             && let Some(sent) = output.sends.last_mut()
         {
-            sent.message.statements.push(target);
+            sent.message.records.push(target);
         }
     }
 
     /// Round-robin over a shuffled list, shuffled anew after each round.
-    pub(super) fn next_target(&mut self, random: &mut impl Rng) -> Option<Statement> {
+    pub(super) fn next_target(&mut self, random: &mut impl Rng) -> Option<MemberRecord> {
         loop {
             if self.probe_order.is_empty() {
                 self.probe_order = self
                     .members
                     .values()
                     .filter(|member| member.is_reachable())
-                    .map(|member| member.statement.node)
+                    .map(|member| member.record.node)
                     .collect();
                 self.probe_order.shuffle(random);
             }
@@ -73,7 +73,7 @@
                 .get(&node)
                 .filter(|member| member.is_reachable())
             {
-                return Some(member.statement);
+                return Some(member.record);
             }
         }
     }
@@ -96,7 +96,7 @@
         let zone = self
             .members
             .get(&probe.target)
-            .map(|member| member.statement.zone);
+            .map(|member| member.record.zone);
         let mut helpers = self.reachable_except(probe.target);
         helpers.shuffle(random);
         if let Some(neighbour) = helpers.iter().position(|helper| Some(helper.zone) == zone) {
@@ -112,11 +112,11 @@
         }
     }
 
-    pub(super) fn reachable_except(&self, excluded: NodeId) -> Vec<Statement> {
+    pub(super) fn reachable_except(&self, excluded: NodeId) -> Vec<MemberRecord> {
         self.members
             .values()
-            .filter(|member| member.is_reachable() && member.statement.node != excluded)
-            .map(|member| member.statement)
+            .filter(|member| member.is_reachable() && member.record.node != excluded)
+            .map(|member| member.record)
             .collect()
     }
 
@@ -128,9 +128,9 @@
         let Some(member) = self.members.get(&probe.target) else {
             return;
         };
-        let suspect = Statement {
+        let suspect = MemberRecord {
             state: MemberState::Suspect,
-            ..member.statement
+            ..member.record
         };
         self.learn(suspect, now, output);
     }
@@ -164,7 +164,7 @@
         let Some(member) = self.members.get(&target) else {
             return;
         };
-        let address = member.statement.address;
+        let address = member.record.address;
         let number = self.new_number();
         self.errands.push(Errand {
             number,
--- a/crates/linkhold-core/src/membership/protocol.rs
+++ b/crates/linkhold-core/src/membership/protocol.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use super::member::{Member, MemberState, NodeId, Statement};
+use super::member::{Member, MemberState, NodeId, MemberRecord};
 use super::message::{Announcement, Message, Payload};
 use super::probing::{Errand, Probe};
 use super::updates::Updates;
@@ -32,7 +32,7 @@
     /// Time after which a dead member is forgotten.
     pub tombstone: Duration,
     /// Statements in one message; bounds its size.
-    pub statements_per_message: usize,
+    pub records_per_message: usize,
 }
 
 impl Default for MembershipSettings {
@@ -46,7 +46,7 @@
             gossip_fanout: 3,
             exchange_period: Duration::from_secs(30),
             tombstone: Duration::from_secs(600),
-            statements_per_message: 12,
+            records_per_message: 12,
         }
     }
 }
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 pub struct Membership {
     pub(super) settings: MembershipSettings,
-    pub(super) own: Statement,
+    pub(super) own: MemberRecord,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) members: BTreeMap<NodeId, Member>,
     pub(super) probe_order: Vec<NodeId>,
@@ -105,7 +105,7 @@
     /// start.
     pub fn new(
         settings: MembershipSettings,
-        own: Statement,
+        own: MemberRecord,
         seeds: Vec<SocketAddr>,
         now: Duration,
     ) -> Self {
@@ -130,8 +130,8 @@
         }
     }
 
-    /// The node's own statement.
-    pub fn own(&self) -> &Statement {
+    /// The node's own record.
+    pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
@@ -150,7 +150,7 @@
         let own = (self.own.state == MemberState::Alive).then_some(self.own.node);
         let others = self.members.values().filter(|member| member.takes_duties());
         own.into_iter()
-            .chain(others.map(|member| member.statement.node))
+            .chain(others.map(|member| member.record.node))
     }
 
     /// Sets what every message announces, and spreads it while it is news.
@@ -161,13 +161,13 @@
 
     /// Takes members over from a list, as a node does that starts with a
     /// recent view; for simulations of a fleet that has been running.
-    pub fn assume(&mut self, statements: impl Iterator<Item = Statement>, now: Duration) {
-        for statement in statements.filter(|statement| statement.node != self.own.node) {
+    pub fn assume(&mut self, records: impl Iterator<Item = MemberRecord>, now: Duration) {
+        for record in records.filter(|record| record.node != self.own.node) {
             let member = Member {
-                statement,
+                record,
                 since: now,
             };
-            self.members.insert(statement.node, member);
+            self.members.insert(record.node, member);
         }
     }
 
@@ -233,8 +233,8 @@
     ) -> Output {
         let mut output = Output::default();
         self.learn(message.from, now, &mut output);
-        for statement in &message.statements {
-            self.learn(*statement, now, &mut output);
+        for record in &message.records {
+            self.learn(*record, now, &mut output);
         }
         let sender = message.from.address;
         // Gossip is never answered, so that two nodes that think the other
@@ -266,7 +266,7 @@
         !self.updates.is_empty() || self.announcements_left > 0
     }
 
-    /// Times a statement is sent: grows with the logarithm of the fleet, so
+    /// Times a record is sent: grows with the logarithm of the fleet, so
     /// that it reaches all with high probability (SWIM, section 4.1).
     fn transmissions(&self) -> u32 {
         const FACTOR: u32 = 4;
@@ -278,44 +278,44 @@
         period.mul_f64(random.random_range(0.75..1.25))
     }
 
-    /// Takes a statement in if it replaces what is known.
-    pub(super) fn learn(&mut self, statement: Statement, now: Duration, output: &mut Output) {
-        if statement.node == self.own.node {
-            self.refute(statement);
+    /// Takes a record in if it replaces what is known.
+    pub(super) fn learn(&mut self, record: MemberRecord, now: Duration, output: &mut Output) {
+        if record.node == self.own.node {
+            self.refute(record);
             return;
         }
-        let known = self.members.get(&statement.node);
-        let is_news = known.is_none_or(|member| statement.overrides(&member.statement));
+        let known = self.members.get(&record.node);
+        let is_news = known.is_none_or(|member| record.overrides(&member.record));
         // The dead are not worth telling to those who never knew them.
-        let is_stale_death = known.is_none() && statement.state == MemberState::Dead;
+        let is_stale_death = known.is_none() && record.state == MemberState::Dead;
         if !is_news || is_stale_death {
             return;
         }
-        let changed = known.is_none_or(|member| member.statement.state != statement.state);
+        let changed = known.is_none_or(|member| member.record.state != record.state);
         self.members.insert(
-            statement.node,
+            record.node,
             Member {
-                statement,
+                record,
                 since: now,
             },
         );
-        self.updates.push(statement);
+        self.updates.push(record);
         if changed {
             output.changes.push(Change {
-                node: statement.node,
-                state: statement.state,
-                incarnation: statement.incarnation,
+                node: record.node,
+                state: record.state,
+                incarnation: record.incarnation,
             });
         }
     }
 
     /// Lets a sender that is believed suspected or dead know it, so that it
     /// can refute.
-    fn tell_what_is_believed(&mut self, sender: &Statement, output: &mut Output) {
+    fn tell_what_is_believed(&mut self, sender: &MemberRecord, output: &mut Output) {
         let believed = self
             .members
             .get(&sender.node)
-            .map(|member| member.statement);
+            .map(|member| member.record);
         if let Some(believed) = believed.filter(|believed| believed.overrides(sender)) {
             let message = self.message(Payload::Gossip, vec![believed]);
             let to = sender.address;
@@ -323,10 +323,10 @@
         }
     }
 
-    /// Answers a wrong statement about this node with a newer incarnation.
-    fn refute(&mut self, statement: Statement) {
-        if statement.overrides(&self.own) {
-            self.own.incarnation = statement.incarnation + 1;
+    /// Answers a wrong record about this node with a newer incarnation.
+    fn refute(&mut self, record: MemberRecord) {
+        if record.overrides(&self.own) {
+            self.own.incarnation = record.incarnation + 1;
             self.updates.push(self.own);
         }
     }
@@ -334,18 +334,18 @@
     /// Declares suspects dead whose time is over; forgets the long dead.
     fn expire(&mut self, now: Duration, output: &mut Output) {
         let suspicion = self.settings.suspicion;
-        let dead: Vec<Statement> = self
+        let dead: Vec<MemberRecord> = self
             .members
             .values()
-            .filter(|member| member.statement.state == MemberState::Suspect)
+            .filter(|member| member.record.state == MemberState::Suspect)
             .filter(|member| now >= member.since + suspicion)
-            .map(|member| Statement {
+            .map(|member| MemberRecord {
                 state: MemberState::Dead,
-                ..member.statement
+                ..member.record
             })
             .collect();
-        for statement in dead {
-            self.learn(statement, now, output);
+        for record in dead {
+            self.learn(record, now, output);
         }
         let tombstone = self.settings.tombstone;
         self.members
@@ -365,22 +365,22 @@
         self.announcements_left = self.announcements_left.saturating_sub(1);
     }
 
-    /// Sends a message with statements on its back.
+    /// Sends a message with records on its back.
     pub(super) fn send(&mut self, to: SocketAddr, payload: Payload, output: &mut Output) {
         let limit = self.transmissions();
-        let statements = self
+        let records = self
             .updates
-            .take(self.settings.statements_per_message, limit);
-        let message = self.message(payload, statements);
+            .take(self.settings.records_per_message, limit);
+        let message = self.message(payload, records);
         output.sends.push(Send { to, message });
     }
 
-    pub(super) fn message(&self, payload: Payload, statements: Vec<Statement>) -> Message {
+    pub(super) fn message(&self, payload: Payload, records: Vec<MemberRecord>) -> Message {
         Message {
             from: self.own,
             payload,
             announcement: self.announcement,
-            statements,
+            records,
         }
     }
 
--- a/crates/linkhold-core/src/membership/updates.rs
+++ b/crates/linkhold-core/src/membership/updates.rs
@@ -1,7 +1,7 @@
 //! Statements on their way to other nodes: each is sent a limited number of
 //! times, the least sent first (SWIM, section 4.1).
 
-use super::member::{NodeId, Statement};
+use super::member::{NodeId, MemberRecord};
 
 /// Statements a node passes on.
 #[derive(Debug, Default)]
@@ -11,15 +11,15 @@
 
 #[derive(Debug)]
 struct Entry {
-    statement: Statement,
+    record: MemberRecord,
     sent: u32,
 }
 
 impl Updates {
-    /// Queues a statement, in place of an older one about the same member.
-    pub fn push(&mut self, statement: Statement) {
-        self.remove(statement.node);
-        self.entries.push(Entry { statement, sent: 0 });
+    /// Queues a record, in place of an older one about the same member.
+    pub fn push(&mut self, record: MemberRecord) {
+        self.remove(record.node);
+        self.entries.push(Entry { record, sent: 0 });
     }
 
     /// Whether nothing is to be passed on.
@@ -27,22 +27,22 @@
         self.entries.is_empty()
     }
 
-    /// Up to `most` statements for one message. A statement that has been
+    /// Up to `most` records for one message. A record that has been
     /// sent `limit` times is dropped.
-    pub fn take(&mut self, most: usize, limit: u32) -> Vec<Statement> {
+    pub fn take(&mut self, most: usize, limit: u32) -> Vec<MemberRecord> {
         self.entries.sort_by_key(|entry| entry.sent);
         let chosen = self.entries.iter_mut().take(most);
-        let statements = chosen
+        let records = chosen
             .map(|entry| {
                 entry.sent += 1;
-                entry.statement
+                entry.record
             })
             .collect();
         self.entries.retain(|entry| entry.sent < limit);
-        statements
+        records
     }
 
     fn remove(&mut self, node: NodeId) {
-        self.entries.retain(|entry| entry.statement.node != node);
+        self.entries.retain(|entry| entry.record.node != node);
     }
 }
--- a/crates/linkhold-fleet/src/node.rs
+++ b/crates/linkhold-fleet/src/node.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::membership::{
-    Change, MemberState, Membership, MembershipSettings, Message, NodeId, Output, Statement,
+    Change, MemberState, Membership, MembershipSettings, Message, NodeId, Output, MemberRecord,
 };
 use linkhold_core::table_spread::{SpreadAction, TableRequest, TableSpread};
 use linkhold_peer::{
@@ -116,7 +116,7 @@
         let now = Duration::ZERO;
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(index as u64);
-        let own = own_statement(index, place, 1);
+        let own = own_record(index, place, 1);
         Self {
             index,
             place,
@@ -140,7 +140,7 @@
     pub fn restart(&mut self, now: Duration) {
         // The real incarnation is the time of the start in milliseconds.
         let incarnation = u64::try_from(now.as_millis()).unwrap_or_default() + 2;
-        let own = own_statement(self.index, self.place, incarnation);
+        let own = own_record(self.index, self.place, incarnation);
         self.membership = Membership::new(self.settings, own, self.seeds.clone(), now);
         self.spread = TableSpread::default();
         self.is_up = true;
@@ -174,9 +174,9 @@
     fn mutate(&mut self, message: &mut Message) {
         match self.mutation {
             Some(Mutation::LoseRefutations) => {
-                let is_kept = |statement: &Statement| statement.incarnation == 1;
+                let is_kept = |record: &MemberRecord| record.incarnation == 1;
                 message.from.incarnation = 1;
-                message.statements.retain(is_kept);
+                message.records.retain(is_kept);
             }
             Some(Mutation::FollowLowerVersions) => {
                 let announced = message.announcement.table_version;
@@ -259,8 +259,8 @@
 }
 
 /// What a node states of itself at a start.
-pub fn own_statement(index: usize, place: Place, incarnation: u64) -> Statement {
-    Statement {
+pub fn own_record(index: usize, place: Place, incarnation: u64) -> MemberRecord {
+    MemberRecord {
         node: node_id(index),
         address: address_of(index),
         client_address: address_of(index),
--- a/crates/linkhold-fleet/src/simulation.rs
+++ b/crates/linkhold-fleet/src/simulation.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::network::NetworkOptions;
-use crate::node::{HollowNode, Outgoing, address_of, node_id, own_statement};
+use crate::node::{HollowNode, Outgoing, address_of, node_id, own_record};
 use crate::report::FleetReport;
 
 /// Nodes that read the store.
@@ -194,7 +194,7 @@
     fn converge(&mut self, index: usize) {
         let network = self.options.network;
         let all =
-            (0..self.options.nodes).map(|other| own_statement(other, network.place_of(other), 1));
+            (0..self.options.nodes).map(|other| own_record(other, network.place_of(other), 1));
         let (version, sheet) = self.stored.clone();
         let node = &mut self.nodes[index];
         node.membership.assume(all, Duration::ZERO);
@@ -404,7 +404,7 @@
                 .filter(|other| other.is_up && other.index != node.index)
                 .all(|other| {
                     let member = node.membership.member(node_id(other.index));
-                    member.is_some_and(|member| member.statement.state == MemberState::Alive)
+                    member.is_some_and(|member| member.record.state == MemberState::Alive)
                 })
         })
     }
--- a/crates/linkhold-peer/src/membership.rs
+++ b/crates/linkhold-peer/src/membership.rs
@@ -2,16 +2,16 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use linkhold_core::membership::{Announcement, MemberState, Message, NodeId, Payload, Statement};
+use linkhold_core::membership::{Announcement, MemberState, Message, NodeId, Payload, MemberRecord};
 use minicbor::{Decode, Encode};
 
 use crate::{MAX_DATAGRAM, PeerError, PeerKey};
 
-/// Maximum number of statements in a message.
-const MAX_STATEMENTS: usize = 64;
+/// Maximum number of records in a message.
+const MAX_RECORDS: usize = 64;
 
 #[derive(Encode, Decode)]
-struct WireStatement {
+struct WireRecord {
     #[n(0)]
     node: u64,
     #[cbor(n(1), with = "minicbor::bytes")]
@@ -33,7 +33,7 @@
 #[derive(Encode, Decode)]
 struct WireMessage {
     #[n(0)]
-    from: WireStatement,
+    from: WireRecord,
     #[n(1)]
     kind: u8,
     #[n(2)]
@@ -45,7 +45,7 @@
     #[n(5)]
     table_digest: u64,
     #[n(6)]
-    statements: Vec<WireStatement>,
+    records: Vec<WireRecord>,
 }
 
 const PING: u8 = 0;
@@ -78,7 +78,7 @@
         target,
         table_version: message.announcement.table_version,
         table_digest: message.announcement.table_digest,
-        statements: message.statements.iter().map(to_wire).collect(),
+        records: message.records.iter().map(to_wire).collect(),
     };
     let body = minicbor::to_vec(&wire).expect("encoding to memory does not fail");
     key.seal(&body)
@@ -88,7 +88,7 @@
 pub fn decode_message(bytes: &[u8], key: &PeerKey) -> Result<Message, PeerError> {
     let body = key.open(bytes, MAX_DATAGRAM)?;
     let wire: WireMessage = minicbor::decode(body).map_err(|_| PeerError::Malformed)?;
-    if wire.statements.len() > MAX_STATEMENTS {
+    if wire.records.len() > MAX_RECORDS {
         return Err(PeerError::Malformed);
     }
     let number = wire.number;
@@ -107,7 +107,7 @@
         },
         _ => return Err(PeerError::Malformed),
     };
-    let statements: Option<Vec<Statement>> = wire.statements.iter().map(from_wire).collect();
+    let records: Option<Vec<MemberRecord>> = wire.records.iter().map(from_wire).collect();
     Ok(Message {
         from: from_wire(&wire.from).ok_or(PeerError::Malformed)?,
         payload,
@@ -115,20 +115,20 @@
             table_version: wire.table_version,
             table_digest: wire.table_digest,
         },
-        statements: statements.ok_or(PeerError::Malformed)?,
+        records: records.ok_or(PeerError::Malformed)?,
     })
 }
 
-fn to_wire(statement: &Statement) -> WireStatement {
-    WireStatement {
-        node: statement.node.0,
-        address: address_bytes(statement.address.ip()),
-        port: statement.address.port(),
-        client_address: address_bytes(statement.client_address.ip()),
-        client_port: statement.client_address.port(),
-        zone: statement.zone,
-        incarnation: statement.incarnation,
-        state: match statement.state {
+fn to_wire(record: &MemberRecord) -> WireRecord {
+    WireRecord {
+        node: record.node.0,
+        address: address_bytes(record.address.ip()),
+        port: record.address.port(),
+        client_address: address_bytes(record.client_address.ip()),
+        client_port: record.client_address.port(),
+        zone: record.zone,
+        incarnation: record.incarnation,
+        state: match record.state {
             MemberState::Alive => 0,
             MemberState::Leaving => 1,
             MemberState::Suspect => 2,
@@ -137,8 +137,8 @@
     }
 }
 
-fn from_wire(wire: &WireStatement) -> Option<Statement> {
-    Some(Statement {
+fn from_wire(wire: &WireRecord) -> Option<MemberRecord> {
+    Some(MemberRecord {
         node: NodeId(wire.node),
         address: SocketAddr::new(address_of(&wire.address)?, wire.port),
         client_address: SocketAddr::new(address_of(&wire.client_address)?, wire.client_port),
--- a/crates/linkhold-peer/tests/codec.rs
+++ b/crates/linkhold-peer/tests/codec.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use linkhold_core::membership::{Announcement, MemberState, Message, NodeId, Payload, Statement};
+use linkhold_core::membership::{Announcement, MemberState, Message, NodeId, Payload, MemberRecord};
 use linkhold_core::table::Delta;
 use linkhold_core::table_spread::{TableRequest, TableResponse};
 use linkhold_peer::{
@@ -31,7 +31,7 @@
     ]
 }
 
-fn statement() -> impl Strategy<Value = Statement> {
+fn record() -> impl Strategy<Value = MemberRecord> {
     let state = prop_oneof![
         Just(MemberState::Alive),
         Just(MemberState::Leaving),
@@ -47,7 +47,7 @@
         state,
     )
         .prop_map(
-            |(node, address, client_address, zone, incarnation, state)| Statement {
+            |(node, address, client_address, zone, incarnation, state)| MemberRecord {
                 node: NodeId(node),
                 address,
                 client_address,
@@ -78,23 +78,23 @@
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let statements = proptest::collection::vec(statement(), 0..=13);
+    let records = proptest::collection::vec(record(), 0..=13);
     (
-        statement(),
+        record(),
         payload(),
         any::<u64>(),
         any::<u64>(),
-        statements,
+        records,
     )
         .prop_map(
-            |(from, payload, table_version, table_digest, statements)| Message {
+            |(from, payload, table_version, table_digest, records)| Message {
                 from,
                 payload,
                 announcement: Announcement {
                     table_version,
                     table_digest,
                 },
-                statements,
+                records,
             },
         )
 }
--- a/crates/linkhold/src/peer/membership_actor.rs
+++ b/crates/linkhold/src/peer/membership_actor.rs
@@ -10,7 +10,7 @@
 use kameo::actor::{ActorRef, Spawn};
 use kameo::message::{Context, Message};
 use linkhold_core::membership::{
-    MemberState, Membership, MembershipSettings, NodeId, Output, Statement,
+    MemberState, Membership, MembershipSettings, NodeId, Output, MemberRecord,
 };
 use linkhold_core::rendezvous::owners;
 use linkhold_core::table_spread::TableRequest;
@@ -70,7 +70,7 @@
     key: PeerKey,
     tasks: &mut JoinSet<()>,
 ) -> ActorRef<MembershipActor> {
-    let own = Statement {
+    let own = MemberRecord {
         node: NodeId::of_name(&context.settings.node),
         address,
         client_address: context.client_address,
@@ -168,7 +168,7 @@
 
     fn publish(&self) {
         let own = *self.membership.own();
-        let others = self.membership.members().map(|member| member.statement);
+        let others = self.membership.members().map(|member| member.record);
         let members = [own].into_iter().chain(others).collect();
         self.members.store(Arc::new(members));
         let readers = owners(TABLE_DUTY, self.membership.duty_nodes(), TABLE_READERS);
--- a/crates/linkhold/src/peer/mod.rs
+++ b/crates/linkhold/src/peer/mod.rs
@@ -11,7 +11,7 @@
 
 use arc_swap::ArcSwap;
 use kameo::actor::ActorRef;
-use linkhold_core::membership::Statement;
+use linkhold_core::membership::MemberRecord;
 use linkhold_peer::PeerKey;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::watch;
@@ -23,7 +23,7 @@
 pub use membership_actor::{AddSeeds, Leave, MembershipActor, state_name};
 
 /// Members as a node sees them, itself first; readable without waiting.
-pub type MemberSnapshot = Arc<ArcSwap<Vec<Statement>>>;
+pub type MemberSnapshot = Arc<ArcSwap<Vec<MemberRecord>>>;
 
 /// Longest time a leaving node keeps telling so before it stops.
 const LEAVE_TIME: Duration = Duration::from_millis(600);
