--- a/crates/linkhold-core/src/membership/exchange.rs
+++ b/crates/linkhold-core/src/membership/exchange.rs
@@ -8,7 +8,7 @@
 
 use super::member::MemberRecord;
 use super::message::Payload;
-use super::protocol::{Membership, Output, Send};
+use super::protocol::{Membership, Output, OutgoingMessage};
 
 impl Membership {
     /// Compares views with a random member, and now and then with a seed or a
@@ -86,7 +86,7 @@
         }
         for chunk in records.chunks(per_message) {
             let message = self.message(Payload::Gossip, chunk.to_vec());
-            output.sends.push(Send { to, message });
+            output.messages.push(OutgoingMessage { to, message });
         }
     }
 }
--- a/crates/linkhold-core/src/membership/probing.rs
+++ b/crates/linkhold-core/src/membership/probing.rs
@@ -49,7 +49,7 @@
         self.send(target.address, Payload::Ping { number }, output);
         // A suspect learns at once that it has to refute.
         if target.state == MemberState::Suspect
-            && let Some(sent) = output.sends.last_mut()
+            && let Some(sent) = output.messages.last_mut()
         {
             sent.message.records.push(target);
         }
--- a/crates/linkhold-core/src/membership/protocol.rs
+++ b/crates/linkhold-core/src/membership/protocol.rs
@@ -53,7 +53,7 @@
 
 /// A message to be sent.
 #[derive(Clone, Debug)]
-pub struct Send {
+pub struct OutgoingMessage {
     /// Where.
     pub to: SocketAddr,
     /// What.
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     /// Messages to send.
-    pub sends: Vec<Send>,
+    pub messages: Vec<OutgoingMessage>,
     /// Changes of the view, in order.
     pub changes: Vec<Change>,
 }
@@ -319,7 +319,7 @@
         if let Some(believed) = believed.filter(|believed| believed.overrides(sender)) {
             let message = self.message(Payload::Gossip, vec![believed]);
             let to = sender.address;
-            output.sends.push(Send { to, message });
+            output.messages.push(OutgoingMessage { to, message });
         }
     }
 
@@ -372,7 +372,7 @@
             .updates
             .take(self.settings.records_per_message, limit);
         let message = self.message(payload, records);
-        output.sends.push(Send { to, message });
+        output.messages.push(OutgoingMessage { to, message });
     }
 
     pub(super) fn message(&self, payload: Payload, records: Vec<MemberRecord>) -> Message {
--- a/crates/linkhold-fleet/src/node.rs
+++ b/crates/linkhold-fleet/src/node.rs
@@ -245,7 +245,7 @@
             self.changes.push((now, change));
         }
         let mut outgoing = Vec::new();
-        for send in output.sends {
+        for send in output.messages {
             let bytes = encode_message(&send.message, &self.key);
             self.spent.bytes += bytes.len() as u64 + DATAGRAM_OVERHEAD;
             self.spent.messages += 1;
--- a/crates/linkhold/src/peer/membership_actor.rs
+++ b/crates/linkhold/src/peer/membership_actor.rs
@@ -155,7 +155,7 @@
         if !output.changes.is_empty() {
             self.publish();
         }
-        for send in output.sends {
+        for send in output.messages {
             let bytes = encode_message(&send.message, &self.key);
             count(&self.metrics.peer_messages_sent);
             self.metrics
