--- a/crates/linkhold-core/src/membership/mod.rs
+++ b/crates/linkhold-core/src/membership/mod.rs
@@ -28,4 +28,4 @@
 
 pub use member::{Member, MemberState, NodeId, MemberRecord};
 pub use message::{Announcement, Message, Payload};
-pub use protocol::{Change, Membership, MembershipSettings, Output, OutgoingMessage};
+pub use protocol::{MemberChange, Membership, MembershipSettings, Output, OutgoingMessage};
--- a/crates/linkhold-core/src/membership/protocol.rs
+++ b/crates/linkhold-core/src/membership/protocol.rs
@@ -62,7 +62,7 @@
 
 /// A change of the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct MemberChange {
     /// Who.
     pub node: NodeId,
     /// What it is now.
@@ -77,7 +77,7 @@
     /// Messages to send.
     pub messages: Vec<OutgoingMessage>,
     /// Changes of the view, in order.
-    pub changes: Vec<Change>,
+    pub changes: Vec<MemberChange>,
 }
 
 /// Membership as one node sees it.
@@ -161,7 +161,7 @@
 
     /// Takes members over from a list, as a node does that starts with a
     /// recent view; for simulations of a fleet that has been running.
-    pub fn assume(&mut self, records: impl Iterator<Item = MemberRecord>, now: Duration) {
+    pub fn preload_members(&mut self, records: impl Iterator<Item = MemberRecord>, now: Duration) {
         for record in records.filter(|record| record.node != self.own.node) {
             let member = Member {
                 record,
@@ -301,7 +301,7 @@
         );
         self.updates.push(record);
         if changed {
-            output.changes.push(Change {
+            output.changes.push(MemberChange {
                 node: record.node,
                 state: record.state,
                 incarnation: record.incarnation,
--- a/crates/linkhold-fleet/src/node.rs
+++ b/crates/linkhold-fleet/src/node.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::membership::{
-    Change, MemberState, Membership, MembershipSettings, Message, NodeId, Output, MemberRecord,
+    MemberChange, MemberState, Membership, MembershipSettings, Message, NodeId, Output, MemberRecord,
 };
 use linkhold_core::table_spread::{SpreadAction, TableRequest, TableSpread};
 use linkhold_peer::{
@@ -70,7 +70,7 @@
     /// What it has spent.
     pub spent: Spent,
     /// Changes of its view, in order.
-    pub changes: Vec<(Duration, Change)>,
+    pub changes: Vec<(Duration, MemberChange)>,
     /// Simulated time of the tick that is scheduled.
     pub scheduled_tick: Duration,
     random: ChaCha8Rng,
--- a/crates/linkhold-fleet/src/simulation.rs
+++ b/crates/linkhold-fleet/src/simulation.rs
@@ -197,7 +197,7 @@
             (0..self.options.nodes).map(|other| own_record(other, network.place_of(other), 1));
         let (version, sheet) = self.stored.clone();
         let node = &mut self.nodes[index];
-        node.membership.assume(all, Duration::ZERO);
+        node.membership.preload_members(all, Duration::ZERO);
         node.read_store(version, sheet);
         self.seen_versions[index] = version;
     }
