--- a/crates/linkhold-core/src/table_spread.rs
+++ b/crates/linkhold-core/src/table_spread.rs
@@ -98,7 +98,7 @@
     }
 
     /// A version was read from the store.
-    pub fn on_stored(&mut self, version: u64, sheet: Sheet) -> Option<SpreadAction> {
+    pub fn on_store_version(&mut self, version: u64, sheet: Sheet) -> Option<SpreadAction> {
         self.adopt(version, sheet)
     }
 
--- a/crates/linkhold-core/tests/table_spread.rs
+++ b/crates/linkhold-core/tests/table_spread.rs
@@ -23,7 +23,7 @@
 fn keeper(versions: &[&[u32]]) -> TableSpread {
     let mut keeper = TableSpread::default();
     for (index, weights) in versions.iter().enumerate() {
-        keeper.on_stored(index as u64 + 1, sheet(weights));
+        keeper.on_store_version(index as u64 + 1, sheet(weights));
     }
     keeper
 }
--- a/crates/linkhold-fleet/src/node.rs
+++ b/crates/linkhold-fleet/src/node.rs
@@ -210,7 +210,7 @@
     /// A version was read from the store.
     pub fn read_store(&mut self, version: u64, sheet: linkhold_core::table::Sheet) {
         let start = Instant::now();
-        let action = self.spread.on_stored(version, sheet);
+        let action = self.spread.on_store_version(version, sheet);
         self.act(action, &mut Vec::new());
         self.spent.processor += start.elapsed();
     }
--- a/crates/linkhold/src/table_keeper.rs
+++ b/crates/linkhold/src/table_keeper.rs
@@ -140,7 +140,7 @@
         });
         match checked {
             Ok((sheet, topology)) => {
-                if self.spread.on_stored(version, sheet).is_some() {
+                if self.spread.on_store_version(version, sheet).is_some() {
                     self.publish(topology);
                 }
             }
