--- a/crates/linkhold-core/src/membership/exchange.rs
+++ b/crates/linkhold-core/src/membership/exchange.rs
@@ -8,7 +8,7 @@
 
 use super::member::MemberRecord;
 use super::message::Payload;
-use super::protocol::{Membership, Output, OutgoingMessage};
+use super::protocol::{Membership, OutgoingMessage, Output};
 
 impl Membership {
     /// Compares views with a random member, and now and then with a seed or a
@@ -73,11 +73,8 @@
             let payload = self.exchange_payload(true);
             self.send(to, payload, output);
         }
-        let mut records: Vec<MemberRecord> = self
-            .members
-            .values()
-            .map(|member| member.record)
-            .collect();
+        let mut records: Vec<MemberRecord> =
+            self.members.values().map(|member| member.record).collect();
         records.shuffle(random);
         let per_message = self.settings.records_per_message;
         let knows_little = known_there < self.known() / 2;
--- a/crates/linkhold-core/src/membership/member.rs
+++ b/crates/linkhold-core/src/membership/member.rs
@@ -86,9 +86,6 @@
 
     /// Whether duties may be given to it.
     pub fn takes_duties(&self) -> bool {
-        matches!(
-            self.record.state,
-            MemberState::Alive | MemberState::Suspect
-        )
+        matches!(self.record.state, MemberState::Alive | MemberState::Suspect)
     }
 }
--- a/crates/linkhold-core/src/membership/message.rs
+++ b/crates/linkhold-core/src/membership/message.rs
@@ -1,6 +1,6 @@
 //! Messages of the membership protocol.
 
-use super::member::{NodeId, MemberRecord};
+use super::member::{MemberRecord, NodeId};
 
 /// What a node tells in every message: the table version it has in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/linkhold-core/src/membership/mod.rs
+++ b/crates/linkhold-core/src/membership/mod.rs
@@ -26,6 +26,6 @@
 mod protocol;
 mod updates;
 
-pub use member::{Member, MemberState, NodeId, MemberRecord};
+pub use member::{Member, MemberRecord, MemberState, NodeId};
 pub use message::{Announcement, Message, Payload};
-pub use protocol::{MemberChange, Membership, MembershipSettings, Output, OutgoingMessage};
+pub use protocol::{MemberChange, Membership, MembershipSettings, OutgoingMessage, Output};
--- a/crates/linkhold-core/src/membership/probing.rs
+++ b/crates/linkhold-core/src/membership/probing.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-use super::member::{MemberState, NodeId, MemberRecord};
+use super::member::{MemberRecord, MemberState, NodeId};
 use super::message::Payload;
 use super::protocol::{Membership, Output};
 
--- a/crates/linkhold-core/src/membership/protocol.rs
+++ b/crates/linkhold-core/src/membership/protocol.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use super::member::{Member, MemberState, NodeId, MemberRecord};
+use super::member::{Member, MemberRecord, MemberState, NodeId};
 use super::message::{Announcement, Message, Payload};
 use super::probing::{Errand, Probe};
 use super::updates::Updates;
@@ -163,10 +163,7 @@
     /// recent view; for simulations of a fleet that has been running.
     pub fn preload_members(&mut self, records: impl Iterator<Item = MemberRecord>, now: Duration) {
         for record in records.filter(|record| record.node != self.own.node) {
-            let member = Member {
-                record,
-                since: now,
-            };
+            let member = Member { record, since: now };
             self.members.insert(record.node, member);
         }
     }
@@ -292,13 +289,8 @@
             return;
         }
         let changed = known.is_none_or(|member| member.record.state != record.state);
-        self.members.insert(
-            record.node,
-            Member {
-                record,
-                since: now,
-            },
-        );
+        self.members
+            .insert(record.node, Member { record, since: now });
         self.updates.push(record);
         if changed {
             output.changes.push(MemberChange {
@@ -312,10 +304,7 @@
     /// Lets a sender that is believed suspected or dead know it, so that it
     /// can refute.
     fn tell_what_is_believed(&mut self, sender: &MemberRecord, output: &mut Output) {
-        let believed = self
-            .members
-            .get(&sender.node)
-            .map(|member| member.record);
+        let believed = self.members.get(&sender.node).map(|member| member.record);
         if let Some(believed) = believed.filter(|believed| believed.overrides(sender)) {
             let message = self.message(Payload::Gossip, vec![believed]);
             let to = sender.address;
@@ -368,9 +357,7 @@
     /// Sends a message with records on its back.
     pub(super) fn send(&mut self, to: SocketAddr, payload: Payload, output: &mut Output) {
         let limit = self.transmissions();
-        let records = self
-            .updates
-            .take(self.settings.records_per_message, limit);
+        let records = self.updates.take(self.settings.records_per_message, limit);
         let message = self.message(payload, records);
         output.messages.push(OutgoingMessage { to, message });
     }
--- a/crates/linkhold-core/src/membership/updates.rs
+++ b/crates/linkhold-core/src/membership/updates.rs
@@ -1,7 +1,7 @@
 //! Statements on their way to other nodes: each is sent a limited number of
 //! times, the least sent first (SWIM, section 4.1).
 
-use super::member::{NodeId, MemberRecord};
+use super::member::{MemberRecord, NodeId};
 
 /// Statements a node passes on.
 #[derive(Debug, Default)]
--- a/crates/linkhold-fleet/src/node.rs
+++ b/crates/linkhold-fleet/src/node.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::membership::{
-    MemberChange, MemberState, Membership, MembershipSettings, Message, NodeId, Output, MemberRecord,
+    MemberChange, MemberRecord, MemberState, Membership, MembershipSettings, Message, NodeId,
+    Output,
 };
 use linkhold_core::table_spread::{SpreadAction, TableRequest, TableSpread};
 use linkhold_peer::{
--- a/crates/linkhold-peer/src/membership.rs
+++ b/crates/linkhold-peer/src/membership.rs
@@ -2,7 +2,9 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use linkhold_core::membership::{Announcement, MemberState, Message, NodeId, Payload, MemberRecord};
+use linkhold_core::membership::{
+    Announcement, MemberRecord, MemberState, Message, NodeId, Payload,
+};
 use minicbor::{Decode, Encode};
 
 use crate::{MAX_DATAGRAM, PeerError, PeerKey};
--- a/crates/linkhold-peer/tests/codec.rs
+++ b/crates/linkhold-peer/tests/codec.rs
@@ -3,7 +3,9 @@
 
 use std::net::SocketAddr;
 
-use linkhold_core::membership::{Announcement, MemberState, Message, NodeId, Payload, MemberRecord};
+use linkhold_core::membership::{
+    Announcement, MemberRecord, MemberState, Message, NodeId, Payload,
+};
 use linkhold_core::table::Delta;
 use linkhold_core::table_spread::{TableRequest, TableResponse};
 use linkhold_peer::{
@@ -79,24 +81,17 @@
 
 fn message() -> impl Strategy<Value = Message> {
     let records = proptest::collection::vec(record(), 0..=13);
-    (
-        record(),
-        payload(),
-        any::<u64>(),
-        any::<u64>(),
-        records,
-    )
-        .prop_map(
-            |(from, payload, table_version, table_digest, records)| Message {
-                from,
-                payload,
-                announcement: Announcement {
-                    table_version,
-                    table_digest,
-                },
-                records,
+    (record(), payload(), any::<u64>(), any::<u64>(), records).prop_map(
+        |(from, payload, table_version, table_digest, records)| Message {
+            from,
+            payload,
+            announcement: Announcement {
+                table_version,
+                table_digest,
             },
-        )
+            records,
+        },
+    )
 }
 
 proptest! {
--- a/crates/linkhold/src/peer/membership_actor.rs
+++ b/crates/linkhold/src/peer/membership_actor.rs
@@ -10,7 +10,7 @@
 use kameo::actor::{ActorRef, Spawn};
 use kameo::message::{Context, Message};
 use linkhold_core::membership::{
-    MemberState, Membership, MembershipSettings, NodeId, Output, MemberRecord,
+    MemberRecord, MemberState, Membership, MembershipSettings, NodeId, Output,
 };
 use linkhold_core::rendezvous::owners;
 use linkhold_core::table_spread::TableRequest;
