--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -2,7 +2,7 @@
 //!
 //! All nodes choose a tenant's coordinator alike ([`crate::rendezvous`]) and ask
 //! it before an operation. It grants from a token bucket, which fills at the
-//! tenant's rate; a grant lapses after [`LAPSE`], spent or not.
+//! tenant's rate; a grant lapses after [`GRANT_LIFETIME`], spent or not.
 //!
 //! # Invariants
 //!
@@ -19,7 +19,7 @@
 //!   there ([`BudgetAnswer::Elsewhere`] in the shell).
 //!
 //! * Two coordinators that both live, each reached by a part of the fleet and not by each
-//!   other, grant each part no more than it had ([`super::parts`]).
+//!   other, grant each part no more than it had ([`super::shares`]).
 
 use std::time::{Duration, Instant};
 
@@ -29,7 +29,7 @@
 /// Life of a grant: long enough for the answer's way between regions and a
 /// caller's turn, short enough that an overshoot of 10% of five seconds covers
 /// what it adds to a window.
-pub const LAPSE: Duration = Duration::from_millis(300);
+pub const GRANT_LIFETIME: Duration = Duration::from_millis(300);
 /// Parts of the reserve: what a bucket may hold beyond the burst, what a new one
 /// starts with, and what nodes grant in place of a live one in a window.
 const HELD_PART: f64 = 0.5;
@@ -39,9 +39,9 @@
 const LEAST_FILLED_PART: f64 = 0.05;
 /// How long a node without news from the store takes itself for first: less than
 /// the time after which others take it for gone.
-pub const VIEW_TRUST: Duration = Duration::from_millis(11_000);
+pub const MAX_VIEW_AGE: Duration = Duration::from_millis(11_000);
 /// How long a node that was told of another first sends its askers there.
-pub const ELSEWHERE_FOR: Duration = Duration::from_millis(3_000);
+pub const REDIRECT_PERIOD: Duration = Duration::from_millis(3_000);
 /// Shortest time after which a refused caller is told to come back.
 const LEAST_RETRY: Duration = Duration::from_millis(50);
 /// Longest time after which a refused caller is told to come back.
@@ -49,21 +49,21 @@
 
 /// As what a node grants a tenant's budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum GrantRole {
     /// It is the tenant's coordinator.
     Coordinator,
     /// It was asked in place of a node that may live.
     StandIn,
 }
 
-impl Standing {
-    /// The standing of a node at `rank` in its view of the fleet (`None`: not among
+impl GrantRole {
+    /// The role of a node at `rank` in its view of the fleet (`None`: not among
     /// the first ones), of which the store was last heard `view_age` ago.
     /// `others_lost` tells whether the nodes before it gave it no answer.
     pub fn of_rank(rank: Option<usize>, view_age: Duration, others_lost: bool) -> Self {
         match rank {
-            Some(0) if view_age < VIEW_TRUST => Self::Coordinator,
-            Some(rank) if rank > 0 && others_lost && view_age < VIEW_TRUST => Self::Coordinator,
+            Some(0) if view_age < MAX_VIEW_AGE => Self::Coordinator,
+            Some(rank) if rank > 0 && others_lost && view_age < MAX_VIEW_AGE => Self::Coordinator,
             Some(_) | None => Self::StandIn,
         }
     }
@@ -71,7 +71,7 @@
 
 /// What decides a grant besides the bucket itself.
 #[derive(Clone, Copy, Debug)]
-pub struct GrantTerms {
+pub struct GrantPolicy {
     /// What the tenant may ask.
     pub limit: RateLimit,
     /// What that comes to in a window.
@@ -79,39 +79,39 @@
     /// Length of the window.
     pub window: Duration,
     /// As what the node grants.
-    pub standing: Standing,
+    pub role: GrantRole,
     /// Operations a second that are kept for nodes which may ask another coordinator
-    /// ([`super::parts`]).
-    pub held_back: f64,
+    /// ([`super::shares`]).
+    pub reserved_rate: f64,
 }
 
-impl GrantTerms {
+impl GrantPolicy {
     /// Operations that no window may exceed, less those that are owed.
     fn reserve(&self) -> f64 {
-        self.in_window.most - self.in_window.owed
+        self.in_window.max - self.in_window.guaranteed
     }
 
-    /// What the bucket holds at most. A grant may be spent up to [`LAPSE`] later,
+    /// What the bucket holds at most. A grant may be spent up to [`GRANT_LIFETIME`] later,
     /// so a window may have what filled in as much more time.
     fn capacity(&self) -> f64 {
-        let held = match self.standing {
-            Standing::Coordinator => {
-                let lapse = self.limit.rate_per_second * LAPSE.as_secs_f64();
+        let held = match self.role {
+            GrantRole::Coordinator => {
+                let lapse = self.limit.rate_per_second * GRANT_LIFETIME.as_secs_f64();
                 self.limit.burst + self.reserve() * HELD_PART - lapse
             }
-            Standing::StandIn => self.reserve() * STAND_IN_PART,
+            GrantRole::StandIn => self.reserve() * STAND_IN_PART,
         };
         held.max(1.0)
     }
 
     /// Operations that fill in a second.
     fn fill_rate(&self) -> f64 {
-        match self.standing {
-            Standing::Coordinator => {
+        match self.role {
+            GrantRole::Coordinator => {
                 let rate = self.limit.rate_per_second;
-                (rate - self.held_back).max(rate * LEAST_FILLED_PART)
+                (rate - self.reserved_rate).max(rate * LEAST_FILLED_PART)
             }
-            Standing::StandIn => self.reserve() * STAND_IN_PART / self.window.as_secs_f64() / 2.0,
+            GrantRole::StandIn => self.reserve() * STAND_IN_PART / self.window.as_secs_f64() / 2.0,
         }
     }
 }
@@ -127,47 +127,47 @@
 
 /// A tenant's budget at its coordinator.
 #[derive(Clone, Debug)]
-pub struct CoordinatedBudget {
+pub struct TokenBucket {
     level: f64,
     filled_at: Instant,
 }
 
-impl CoordinatedBudget {
+impl TokenBucket {
     /// A new bucket.
-    pub fn new(now: Instant, terms: &GrantTerms) -> Self {
+    pub fn new(now: Instant, policy: &GrantPolicy) -> Self {
         Self {
-            level: (terms.reserve() * START_PART).min(terms.capacity()),
+            level: (policy.reserve() * START_PART).min(policy.capacity()),
             filled_at: now,
         }
     }
 
     /// Grants up to `wanted` operations.
-    pub fn grant(&mut self, now: Instant, wanted: u64, terms: &GrantTerms) -> Grant {
-        self.fill(now, terms);
+    pub fn grant(&mut self, now: Instant, wanted: u64, policy: &GrantPolicy) -> Grant {
+        self.fill(now, policy);
         let amount = wanted.min(self.level.floor() as u64);
         self.level -= amount as f64;
         Grant {
             amount,
-            retry_after: self.retry_after(terms),
+            retry_after: self.retry_after(policy),
         }
     }
 
     /// Operations that were granted and certainly did not run.
-    pub fn give_back(&mut self, amount: u64, terms: &GrantTerms) {
-        self.level = (self.level + amount as f64).min(terms.capacity());
+    pub fn return_unused(&mut self, amount: u64, policy: &GrantPolicy) {
+        self.level = (self.level + amount as f64).min(policy.capacity());
     }
 
-    fn fill(&mut self, now: Instant, terms: &GrantTerms) {
+    fn fill(&mut self, now: Instant, policy: &GrantPolicy) {
         let passed = now.saturating_duration_since(self.filled_at);
         self.filled_at = self.filled_at.max(now);
-        let filled = self.level + passed.as_secs_f64() * terms.fill_rate();
-        self.level = filled.min(terms.capacity());
+        let filled = self.level + passed.as_secs_f64() * policy.fill_rate();
+        self.level = filled.min(policy.capacity());
     }
 
     /// When there will be an operation again.
-    fn retry_after(&self, terms: &GrantTerms) -> Duration {
+    fn retry_after(&self, policy: &GrantPolicy) -> Duration {
         let missing = (1.0 - self.level).max(0.0);
-        let wait = Duration::try_from_secs_f64(missing / terms.fill_rate());
+        let wait = Duration::try_from_secs_f64(missing / policy.fill_rate());
         wait.unwrap_or(LONGEST_RETRY)
             .clamp(LEAST_RETRY, LONGEST_RETRY)
     }
@@ -178,18 +178,18 @@
 
 /// What a node may do with an operation now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spending {
+pub enum SpendDecision {
     /// It may run.
     Granted,
     /// A budget is to be asked for.
-    Ask,
+    NeedsGrant,
     /// The coordinator had nothing a moment ago; it will not before this.
     Refused(Duration),
 }
 
 /// A tenant's budget at a node that spends it.
 #[derive(Clone, Debug, Default)]
-pub struct HeldBudget {
+pub struct NodeBudget {
     tokens: ExpiringCount,
     /// What was spent lately.
     spent: ExpiringCount,
@@ -202,31 +202,31 @@
     short_at: Option<Instant>,
 }
 
-impl HeldBudget {
+impl NodeBudget {
     /// Spends one operation if there is one.
-    pub fn spend(&mut self, now: Instant) -> Spending {
+    pub fn spend(&mut self, now: Instant) -> SpendDecision {
         if self.tokens.take_one(now) {
             self.spent.add(now + NEED_WINDOW, 1);
-            return Spending::Granted;
+            return SpendDecision::Granted;
         }
         match self.refused_until {
-            Some(until) if now < until => Spending::Refused(until - now),
-            _ => Spending::Ask,
+            Some(until) if now < until => SpendDecision::Refused(until - now),
+            _ => SpendDecision::NeedsGrant,
         }
     }
 
     /// Operations to ask for where `waiting` wait: these, and as many as will
     /// surely come while the grant lasts, by what was spent lately.
-    pub fn need(&mut self, now: Instant, waiting: u64) -> u64 {
+    pub fn operations_to_request(&mut self, now: Instant, waiting: u64) -> u64 {
         let recent = self.spent.total(now) as f64;
-        let coming = recent * LAPSE.as_secs_f64() / NEED_WINDOW.as_secs_f64();
+        let coming = recent * GRANT_LIFETIME.as_secs_f64() / NEED_WINDOW.as_secs_f64();
         self.wanted = waiting.max(1) + coming.floor() as u64;
         self.wanted
     }
 
     /// An operation did certainly not run. It is not spent anew here: its life may
     /// be over.
-    pub fn not_run(&mut self) {
+    pub fn record_not_run(&mut self) {
         self.unused += 1;
     }
 
@@ -236,7 +236,7 @@
     }
 
     /// Whether the tenant asked for more than it has a moment ago.
-    pub fn presses(&self, now: Instant) -> bool {
+    pub fn is_saturated(&self, now: Instant) -> bool {
         self.short_at.is_some_and(|at| now < at + NEED_WINDOW)
     }
 
@@ -247,8 +247,8 @@
 
     /// A budget was granted in answer to a question that was sent at `asked_at`.
     /// Its life counts from there, since the coordinator counts from later.
-    pub fn granted(&mut self, asked_at: Instant, grant: Grant) {
-        self.tokens.add(asked_at + LAPSE, grant.amount);
+    pub fn record_grant(&mut self, asked_at: Instant, grant: Grant) {
+        self.tokens.add(asked_at + GRANT_LIFETIME, grant.amount);
         self.refused_until = (grant.amount == 0).then(|| asked_at + grant.retry_after);
         if grant.amount < self.wanted {
             self.short_at = Some(asked_at);
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantTerms, HeldBudget, LAPSE, Spending, Standing, VIEW_TRUST,
+    GRANT_LIFETIME, Grant, GrantPolicy, GrantRole, MAX_VIEW_AGE, NodeBudget, SpendDecision,
+    TokenBucket,
 };
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
@@ -29,7 +30,7 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let lapse = LAPSE.as_millis() as u64;
+    let lapse = GRANT_LIFETIME.as_millis() as u64;
     let step = prop_oneof![
         8 => (1_u64..400).prop_map(Step::Pass),
         1 => (1_000_u64..9_000).prop_map(Step::Pass),
@@ -40,26 +41,26 @@
     prop::collection::vec(step, 1..400)
 }
 
-fn terms(rate: f64, burst: f64, standing: Standing) -> GrantTerms {
+fn policy(rate: f64, burst: f64, role: GrantRole) -> GrantPolicy {
     let limit = RateLimit {
         rate_per_second: rate,
         burst,
     };
-    GrantTerms {
+    GrantPolicy {
         limit,
         in_window: RULES.window_limit(limit),
         window: RULES.window,
-        standing,
-        held_back: 0.0,
+        role,
+        reserved_rate: 0.0,
     }
 }
 
 struct Model {
     now: Instant,
-    terms: GrantTerms,
-    stand_in_terms: GrantTerms,
-    coordinator: CoordinatedBudget,
-    stand_in: CoordinatedBudget,
+    policy: GrantPolicy,
+    stand_in_policy: GrantPolicy,
+    coordinator: TokenBucket,
+    stand_in: TokenBucket,
     /// When coordinators took over lately.
     successions: Vec<Instant>,
     spent: Vec<(Instant, u64)>,
@@ -68,14 +69,14 @@
 impl Model {
     fn new(rate: f64, burst: f64) -> Self {
         let now = Instant::now();
-        let coordinating = terms(rate, burst, Standing::Coordinator);
-        let standing_in = terms(rate, burst, Standing::StandIn);
+        let coordinating = policy(rate, burst, GrantRole::Coordinator);
+        let standing_in = policy(rate, burst, GrantRole::StandIn);
         Self {
             now,
-            terms: coordinating,
-            stand_in_terms: standing_in,
-            coordinator: CoordinatedBudget::new(now, &coordinating),
-            stand_in: CoordinatedBudget::new(now, &standing_in),
+            policy: coordinating,
+            stand_in_policy: standing_in,
+            coordinator: TokenBucket::new(now, &coordinating),
+            stand_in: TokenBucket::new(now, &standing_in),
             successions: vec![now],
             spent: Vec::new(),
         }
@@ -94,14 +95,16 @@
                     wanted,
                     spent_after,
                 } => {
-                    let grant = self.coordinator.grant(self.now, *wanted, &self.terms);
+                    let grant = self.coordinator.grant(self.now, *wanted, &self.policy);
                     self.spend(grant, *spent_after);
                 }
                 Step::AskStandIn {
                     wanted,
                     spent_after,
                 } => {
-                    let grant = self.stand_in.grant(self.now, *wanted, &self.stand_in_terms);
+                    let grant = self
+                        .stand_in
+                        .grant(self.now, *wanted, &self.stand_in_policy);
                     self.spend(grant, *spent_after);
                 }
                 Step::Succeed => self.succeed(),
@@ -113,10 +116,10 @@
     fn succeed(&mut self) {
         let now = self.now;
         self.successions
-            .retain(|at| now < *at + RULES.window + LAPSE);
+            .retain(|at| now < *at + RULES.window + GRANT_LIFETIME);
         if self.successions.len() < 2 {
             self.successions.push(now);
-            self.coordinator = CoordinatedBudget::new(now, &self.terms);
+            self.coordinator = TokenBucket::new(now, &self.policy);
         }
     }
 
@@ -145,7 +148,7 @@
     ) {
         let mut model = Model::new(f64::from(rate), f64::from(burst));
         model.run(&steps);
-        let most = model.terms.in_window.most;
+        let most = model.policy.in_window.max;
         prop_assert!(model.fullest_window() as f64 <= most, "{most}");
     }
 }
@@ -169,14 +172,14 @@
     flood(&mut model, Duration::from_secs(30));
     let spent: u64 = model.spent.iter().map(|(_, amount)| amount).sum();
     assert!(spent as f64 >= 40.0 * 29.0, "{spent}");
-    assert!(model.fullest_window() as f64 <= model.terms.in_window.most);
+    assert!(model.fullest_window() as f64 <= model.policy.in_window.max);
 }
 
 #[test]
 fn two_coordinators_at_a_time_exceed_the_limit() {
     // What the module says it cannot prevent, so that the model would show it.
     let mut model = Model::new(40.0, 40.0);
-    let mut second = CoordinatedBudget::new(model.now, &model.terms);
+    let mut second = TokenBucket::new(model.now, &model.policy);
     for _ in 0..1_000 {
         model.run(&[
             Step::Pass(20),
@@ -185,10 +188,10 @@
                 spent_after: 0,
             },
         ]);
-        let grant = second.grant(model.now, 100, &model.terms);
+        let grant = second.grant(model.now, 100, &model.policy);
         model.spend(grant, 0);
     }
-    assert!(model.fullest_window() as f64 > model.terms.in_window.most);
+    assert!(model.fullest_window() as f64 > model.policy.in_window.max);
 }
 
 #[test]
@@ -199,7 +202,7 @@
         let mut refused = 0;
         for _ in 0..2_000 {
             model.now += pause;
-            let grant = model.coordinator.grant(model.now, 1, &model.terms);
+            let grant = model.coordinator.grant(model.now, 1, &model.policy);
             refused += u32::from(grant.amount == 0);
         }
         assert_eq!(refused, 0, "at {rate} a second");
@@ -209,12 +212,12 @@
 #[test]
 fn a_refusal_tells_when_the_bucket_has_one_again() {
     let mut model = Model::new(4.0, 1.0);
-    let drained = model.coordinator.grant(model.now, 1_000, &model.terms);
+    let drained = model.coordinator.grant(model.now, 1_000, &model.policy);
     assert!(drained.amount >= 1);
-    let refused = model.coordinator.grant(model.now, 1, &model.terms);
+    let refused = model.coordinator.grant(model.now, 1, &model.policy);
     assert_eq!(refused.amount, 0);
     let later = model.now + refused.retry_after + Duration::from_millis(1);
-    let granted = model.coordinator.grant(later, 1, &model.terms);
+    let granted = model.coordinator.grant(later, 1, &model.policy);
     assert_eq!(granted.amount, 1);
 }
 
@@ -224,53 +227,53 @@
     model.now += Duration::from_secs(60);
     let full = model
         .coordinator
-        .grant(model.now, 1_000, &model.terms)
+        .grant(model.now, 1_000, &model.policy)
         .amount;
-    model.coordinator.give_back(3, &model.terms);
-    let again = model.coordinator.grant(model.now, 1_000, &model.terms);
+    model.coordinator.return_unused(3, &model.policy);
+    let again = model.coordinator.grant(model.now, 1_000, &model.policy);
     assert_eq!(again.amount, 3);
-    model.coordinator.give_back(10_000, &model.terms);
-    let most = model.coordinator.grant(model.now, 10_000, &model.terms);
+    model.coordinator.return_unused(10_000, &model.policy);
+    let most = model.coordinator.grant(model.now, 10_000, &model.policy);
     assert_eq!(most.amount, full);
-    let mut held = HeldBudget::default();
-    held.not_run();
-    held.not_run();
+    let mut held = NodeBudget::default();
+    held.record_not_run();
+    held.record_not_run();
     assert_eq!((held.take_unused(), held.take_unused()), (2, 0));
 }
 
 #[test]
 fn a_node_grants_the_rate_only_as_first_or_after_the_others_are_lost() {
     let soon = Duration::from_millis(10);
-    let of_rank = Standing::of_rank;
-    assert_eq!(of_rank(Some(0), soon, false), Standing::Coordinator);
-    assert_eq!(of_rank(Some(1), soon, false), Standing::StandIn);
-    assert_eq!(of_rank(Some(2), soon, true), Standing::Coordinator);
-    assert_eq!(of_rank(None, soon, true), Standing::StandIn);
-    assert_eq!(of_rank(Some(0), VIEW_TRUST, false), Standing::StandIn);
-    assert_eq!(of_rank(Some(1), VIEW_TRUST, true), Standing::StandIn);
+    let of_rank = GrantRole::of_rank;
+    assert_eq!(of_rank(Some(0), soon, false), GrantRole::Coordinator);
+    assert_eq!(of_rank(Some(1), soon, false), GrantRole::StandIn);
+    assert_eq!(of_rank(Some(2), soon, true), GrantRole::Coordinator);
+    assert_eq!(of_rank(None, soon, true), GrantRole::StandIn);
+    assert_eq!(of_rank(Some(0), MAX_VIEW_AGE, false), GrantRole::StandIn);
+    assert_eq!(of_rank(Some(1), MAX_VIEW_AGE, true), GrantRole::StandIn);
 }
 
 #[test]
 fn budgets_at_a_node_lapse_and_refusals_are_remembered() {
     let start = Instant::now();
-    let mut held = HeldBudget::default();
-    assert_eq!(held.spend(start), Spending::Ask);
-    assert_eq!(held.need(start, 1), 1);
+    let mut held = NodeBudget::default();
+    assert_eq!(held.spend(start), SpendDecision::NeedsGrant);
+    assert_eq!(held.operations_to_request(start, 1), 1);
     let grant = |amount| Grant {
         amount,
         retry_after: Duration::from_millis(200),
     };
-    held.granted(start, grant(20));
+    held.record_grant(start, grant(20));
     for _ in 0..10 {
-        assert_eq!(held.spend(start), Spending::Granted);
+        assert_eq!(held.spend(start), SpendDecision::Granted);
     }
-    let lapsed = start + LAPSE;
-    assert_eq!(held.spend(lapsed), Spending::Ask);
+    let lapsed = start + GRANT_LIFETIME;
+    assert_eq!(held.spend(lapsed), SpendDecision::NeedsGrant);
     // Ten in a second and a half are two in the life of a grant.
-    assert_eq!(held.need(lapsed, 1), 3);
-    held.granted(lapsed, grant(0));
+    assert_eq!(held.operations_to_request(lapsed, 1), 3);
+    held.record_grant(lapsed, grant(0));
     let soon = lapsed + Duration::from_millis(150);
     let left = Duration::from_millis(50);
-    assert_eq!(held.spend(soon), Spending::Refused(left));
-    assert_eq!(held.spend(soon + left), Spending::Ask);
+    assert_eq!(held.spend(soon), SpendDecision::Refused(left));
+    assert_eq!(held.spend(soon + left), SpendDecision::NeedsGrant);
 }
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, Grant, GrantTerms, HeldBudget, Spending, Standing,
+    Grant, GrantPolicy, GrantRole, NodeBudget, SpendDecision, TokenBucket,
 };
-use linkhold_core::tenancy::parts::{AskerParts, HeldBack, InheritedPart};
+use linkhold_core::tenancy::shares::{InheritedShare, RequesterShares, ReservedRate};
 use linkhold_core::tenancy::{QuotaRules, RateLimit};
 use proptest::prelude::*;
 
@@ -28,13 +28,13 @@
 }
 
 struct Coordinator {
-    budget: CoordinatedBudget,
-    parts: AskerParts<usize>,
+    budget: TokenBucket,
+    shares: RequesterShares<usize>,
 }
 
 struct Node {
-    budget: HeldBudget,
-    inherited: Option<InheritedPart>,
+    budget: NodeBudget,
+    inherited: Option<InheritedShare>,
     is_cut_off: bool,
     /// Operations a second that its callers ask for.
     demand: f64,
@@ -57,11 +57,11 @@
             burst: rate / 5.0,
         };
         let coordinator = || Coordinator {
-            budget: CoordinatedBudget::new(now, &terms(limit, 0.0)),
-            parts: AskerParts::default(),
+            budget: TokenBucket::new(now, &policy(limit, 0.0)),
+            shares: RequesterShares::default(),
         };
         let node = |(demand, is_cut_off): &(f64, bool)| Node {
-            budget: HeldBudget::default(),
+            budget: NodeBudget::default(),
             inherited: None,
             is_cut_off: *is_cut_off,
             demand: *demand,
@@ -91,9 +91,9 @@
         while node.pending >= 1.0 {
             node.pending -= 1.0;
             match node.budget.spend(now) {
-                Spending::Granted => self.spent.push(now),
-                Spending::Refused(_) => {}
-                Spending::Ask => {
+                SpendDecision::Granted => self.spent.push(now),
+                SpendDecision::Refused(_) => {}
+                SpendDecision::NeedsGrant => {
                     let grant = ask(
                         node,
                         index,
@@ -102,8 +102,8 @@
                         is_split,
                         now,
                     );
-                    node.budget.granted(now, grant);
-                    if node.budget.spend(now) == Spending::Granted {
+                    node.budget.record_grant(now, grant);
+                    if node.budget.spend(now) == SpendDecision::Granted {
                         self.spent.push(now);
                     }
                 }
@@ -125,13 +125,13 @@
     }
 }
 
-fn terms(limit: RateLimit, held_back: f64) -> GrantTerms {
-    GrantTerms {
+fn policy(limit: RateLimit, reserved_rate: f64) -> GrantPolicy {
+    GrantPolicy {
         limit,
         in_window: RULES.window_limit(limit),
         window: RULES.window,
-        standing: Standing::Coordinator,
-        held_back,
+        role: GrantRole::Coordinator,
+        reserved_rate,
     }
 }
 
@@ -144,36 +144,38 @@
     now: Instant,
 ) -> Grant {
     let turns = is_split && node.is_cut_off;
-    let wanted = node.budget.need(now, 1);
+    let wanted = node.budget.operations_to_request(now, 1);
     let mut inherited = None;
     if turns && mechanisms.inherits {
         let rate = node.budget.recent_rate(now);
-        let presses = node.budget.presses(now);
-        let part = node
+        let is_saturated = node.budget.is_saturated(now);
+        let share = node
             .inherited
-            .get_or_insert_with(|| InheritedPart::new(rate, presses, now));
-        if part.begins_at(now).is_some() {
+            .get_or_insert_with(|| InheritedShare::new(rate, is_saturated, now));
+        if share.begins_at(now).is_some() {
             return Grant {
                 amount: 0,
                 retry_after: STEP,
             };
         }
-        inherited = Some(part.rate);
+        inherited = Some(share.rate);
     }
     let coordinator = &mut coordinators[usize::from(turns)];
     let cut_off = match mechanisms.holds_back {
-        true => coordinator.parts.held_back(now, |_| true),
+        true => coordinator.shares.reserved_rate(now, |_| true),
         false => 0.0,
     };
-    // Of a node that asks for the first time, its own part counts as well.
-    coordinator.parts.asked(index, inherited, now);
-    let held_back = HeldBack {
+    // Of a node that asks for the first time, its own share counts as well.
+    coordinator.shares.record_request(index, inherited, now);
+    let reserved_rate = ReservedRate {
         cut_off,
-        inherited: coordinator.parts.inherited(),
+        inherited: coordinator.shares.inherited_rate(),
     };
-    let terms = terms(limit, held_back.of(limit));
-    let grant = coordinator.budget.grant(now, wanted, &terms);
-    coordinator.parts.granted(index, wanted, grant.amount, now);
+    let policy = policy(limit, reserved_rate.of(limit));
+    let grant = coordinator.budget.grant(now, wanted, &policy);
+    coordinator
+        .shares
+        .record_grant(index, wanted, grant.amount, now);
     grant
 }
 
@@ -189,7 +191,7 @@
         rate_per_second: rate,
         burst: rate / 5.0,
     };
-    RULES.window_limit(limit).most
+    RULES.window_limit(limit).max
 }
 
 const ALL: Mechanisms = Mechanisms {
--- a/crates/linkhold-fleet/src/node.rs
+++ b/crates/linkhold-fleet/src/node.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::membership::{
-    Change, MemberState, Membership, MembershipSettings, Message, NodeId, Output, Statement,
+    MemberChange, MemberRecord, MemberState, Membership, MembershipSettings, Message, NodeId,
+    Output,
 };
 use linkhold_core::table_spread::{SpreadAction, TableRequest, TableSpread};
 use linkhold_peer::{
@@ -70,7 +71,7 @@
     /// What it has spent.
     pub spent: Spent,
     /// Changes of its view, in order.
-    pub changes: Vec<(Duration, Change)>,
+    pub changes: Vec<(Duration, MemberChange)>,
     /// Simulated time of the tick that is scheduled.
     pub scheduled_tick: Duration,
     random: ChaCha8Rng,
@@ -116,7 +117,7 @@
         let now = Duration::ZERO;
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(index as u64);
-        let own = own_statement(index, place, 1);
+        let own = own_record(index, place, 1);
         Self {
             index,
             place,
@@ -140,7 +141,7 @@
     pub fn restart(&mut self, now: Duration) {
         // The real incarnation is the time of the start in milliseconds.
         let incarnation = u64::try_from(now.as_millis()).unwrap_or_default() + 2;
-        let own = own_statement(self.index, self.place, incarnation);
+        let own = own_record(self.index, self.place, incarnation);
         self.membership = Membership::new(self.settings, own, self.seeds.clone(), now);
         self.spread = TableSpread::default();
         self.is_up = true;
@@ -174,9 +175,9 @@
     fn mutate(&mut self, message: &mut Message) {
         match self.mutation {
             Some(Mutation::LoseRefutations) => {
-                let is_kept = |statement: &Statement| statement.incarnation == 1;
+                let is_kept = |record: &MemberRecord| record.incarnation == 1;
                 message.from.incarnation = 1;
-                message.statements.retain(is_kept);
+                message.records.retain(is_kept);
             }
             Some(Mutation::FollowLowerVersions) => {
                 let announced = message.announcement.table_version;
@@ -210,7 +211,7 @@
     /// A version was read from the store.
     pub fn read_store(&mut self, version: u64, sheet: linkhold_core::table::Sheet) {
         let start = Instant::now();
-        let action = self.spread.on_stored(version, sheet);
+        let action = self.spread.on_store_version(version, sheet);
         self.act(action, &mut Vec::new());
         self.spent.processor += start.elapsed();
     }
@@ -245,7 +246,7 @@
             self.changes.push((now, change));
         }
         let mut outgoing = Vec::new();
-        for send in output.sends {
+        for send in output.messages {
             let bytes = encode_message(&send.message, &self.key);
             self.spent.bytes += bytes.len() as u64 + DATAGRAM_OVERHEAD;
             self.spent.messages += 1;
@@ -259,8 +260,8 @@
 }
 
 /// What a node states of itself at a start.
-pub fn own_statement(index: usize, place: Place, incarnation: u64) -> Statement {
-    Statement {
+pub fn own_record(index: usize, place: Place, incarnation: u64) -> MemberRecord {
+    MemberRecord {
         node: node_id(index),
         address: address_of(index),
         client_address: address_of(index),
--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -6,10 +6,8 @@
 use std::time::{Duration, Instant};
 
 use linkhold_core::tenancy::TenantName;
-use linkhold_core::tenancy::budget::{
-    CoordinatedBudget, ELSEWHERE_FOR, Grant, GrantTerms, Standing,
-};
-use linkhold_core::tenancy::parts::{AskerParts, HeldBack};
+use linkhold_core::tenancy::budget::{Grant, GrantPolicy, GrantRole, REDIRECT_PERIOD, TokenBucket};
+use linkhold_core::tenancy::shares::{RequesterShares, ReservedRate};
 use linkhold_events::Event;
 
 use crate::cluster_state::lock;
@@ -47,14 +45,14 @@
 
 /// The budget that this node grants from for a tenant.
 struct CoordinatedTenant {
-    budget: CoordinatedBudget,
-    standing: Standing,
+    budget: TokenBucket,
+    role: GrantRole,
     /// When the other coordinators were last checked.
     checked_at: Option<Instant>,
     /// Whether the coordinators before this node gave no answer.
     predecessors_lost: bool,
     /// Parts of the rate that the requesting nodes were granted.
-    parts: AskerParts<Requester>,
+    shares: RequesterShares<Requester>,
 }
 
 /// Another node that has become a tenant's coordinator.
@@ -102,7 +100,7 @@
 ) {
     let displacement = Displacement {
         address: by,
-        until: Instant::now() + ELSEWHERE_FOR,
+        until: Instant::now() + REDIRECT_PERIOD,
     };
     let known =
         lock(&environment.quotas().coordination.displacements).insert(tenant.clone(), displacement);
@@ -129,15 +127,17 @@
     let mut budgets = lock(&environment.quotas().coordination.budgets);
     let predecessors_lost = budgets.get(tenant).is_some_and(|it| it.predecessors_lost);
     // If this node is the first coordinator, the requester turned away from the first
-    // one before this node became it, and its inherited part does not apply.
+    // one before this node became it, and its inherited share does not apply.
     let is_first = rank == Some(0);
     let inherited = request.inherited.filter(|_| !is_first);
-    let inherited = inherited.map(|part| part as f64 / THOUSANDTHS);
+    let inherited = inherited.map(|share| share as f64 / THOUSANDTHS);
     let known = budgets.get_mut(tenant);
-    let mut parts = known.map_or_else(AskerParts::default, |it| std::mem::take(&mut it.parts));
-    parts.asked(requester, inherited, now);
-    let held_back = held_back(environment, &mut parts, now);
-    let Some(terms) = terms(environment, tenant, rank, predecessors_lost, held_back) else {
+    let mut shares = known.map_or_else(RequesterShares::default, |it| {
+        std::mem::take(&mut it.shares)
+    });
+    shares.record_request(requester, inherited, now);
+    let reserved_rate = reserved_rate(environment, &mut shares, now);
+    let Some(policy) = policy(environment, tenant, rank, predecessors_lost, reserved_rate) else {
         return Grant {
             amount: 0,
             retry_after: UNKNOWN_TENANT_RETRY,
@@ -146,22 +146,22 @@
     let entry = budgets
         .entry(tenant.clone())
         .or_insert_with(|| CoordinatedTenant {
-            budget: CoordinatedBudget::new(now, &terms),
-            standing: terms.standing,
+            budget: TokenBucket::new(now, &policy),
+            role: policy.role,
             checked_at: None,
             predecessors_lost: false,
-            parts: AskerParts::default(),
+            shares: RequesterShares::default(),
         });
-    if entry.standing != terms.standing {
-        entry.budget = CoordinatedBudget::new(now, &terms);
-        entry.standing = terms.standing;
-        log_standing(tenant, terms.standing, rank);
+    if entry.role != policy.role {
+        entry.budget = TokenBucket::new(now, &policy);
+        entry.role = policy.role;
+        log_role(tenant, policy.role, rank);
     }
-    entry.budget.give_back(request.unused, &terms);
+    entry.budget.return_unused(request.unused, &policy);
     let wanted = request.wanted;
-    let grant = entry.budget.grant(now, wanted, &terms);
-    parts.granted(requester, wanted, grant.amount, now);
-    entry.parts = parts;
+    let grant = entry.budget.grant(now, wanted, &policy);
+    shares.record_grant(requester, wanted, grant.amount, now);
+    entry.shares = shares;
     let is_due = entry.checked_at.is_none_or(|at| now >= at + CHECK_INTERVAL);
     if is_due {
         entry.checked_at = Some(now);
@@ -171,40 +171,40 @@
     grant
 }
 
-fn terms<E: BudgetEnvironment>(
+fn policy<E: BudgetEnvironment>(
     environment: &Arc<E>,
     tenant: &str,
     rank: Option<usize>,
     predecessors_lost: bool,
-    held_back: HeldBack,
-) -> Option<GrantTerms> {
+    reserved_rate: ReservedRate,
+) -> Option<GrantPolicy> {
     let rules = environment.quota_rules()?;
     let limit = environment.limit(tenant)?;
-    Some(GrantTerms {
+    Some(GrantPolicy {
         limit,
         in_window: rules.window_limit(limit),
         window: rules.window,
-        standing: Standing::of_rank(rank, environment.view_age(), predecessors_lost),
-        held_back: held_back.of(limit),
+        role: GrantRole::of_rank(rank, environment.view_age(), predecessors_lost),
+        reserved_rate: reserved_rate.of(limit),
     })
 }
 
 /// The rate that is reserved for nodes which may ask another coordinator.
-fn held_back<E: BudgetEnvironment>(
+fn reserved_rate<E: BudgetEnvironment>(
     environment: &Arc<E>,
-    parts: &mut AskerParts<Requester>,
+    shares: &mut RequesterShares<Requester>,
     now: Instant,
-) -> HeldBack {
-    HeldBack {
-        cut_off: parts.held_back(now, |requester| may_ask_another(environment, requester)),
-        inherited: parts.inherited(),
+) -> ReservedRate {
+    ReservedRate {
+        cut_off: shares.reserved_rate(now, |requester| may_ask_another(environment, requester)),
+        inherited: shares.inherited_rate(),
     }
 }
 
 /// Whether a node that sends no more requests may be cut off and ask another coordinator.
 /// With both coordinators granting the whole rate, a tenant had 3,118 operations in a
 /// window in which 2,983 are allowed. A node that is reached only has callers that pause:
-/// when the parts of such nodes were held back as well, 800 of 60,000 operations of other
+/// when the shares of such nodes were held back as well, 800 of 60,000 operations of other
 /// tenants were refused.
 fn may_ask_another<E: BudgetEnvironment>(environment: &Arc<E>, requester: &Requester) -> bool {
     match requester {
@@ -216,10 +216,10 @@
     }
 }
 
-fn log_standing(tenant: &TenantName, standing: Standing, rank: Option<usize>) {
+fn log_role(tenant: &TenantName, role: GrantRole, rank: Option<usize>) {
     Event::info("budget_standing_changed")
         .field("tenant", tenant)
-        .field("standing", format_args!("{standing:?}"))
+        .field("standing", format_args!("{role:?}"))
         .field("rank", format_args!("{rank:?}"))
         .log();
 }
