--- a/crates/linkhold-gateway/tests/registry.rs
+++ b/crates/linkhold-gateway/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What the rows of the fleet tell.
+//! Decoding of the rows by which nodes register.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A node's row, written at a moment of the store's clock.
+/// A node's row, written at a time on the store's clock in milliseconds.
 fn row(
     name: &str,
     reads_since: Option<u64>,
@@ -89,15 +89,15 @@
     assert_eq!(known.own_followers, [follower("f", 500)]);
 }
 
-/// All nodes had been without power for eight seconds: the fleet that they read
-/// was taken for one that starts, of which nobody knows the size.
+/// After all nodes had been without power for eight seconds, the fleet read from the rows
+/// was mistaken for a starting one, whose size is unknown.
 #[test]
 fn a_fleet_is_known_whole_after_all_its_nodes_were_stopped_for_seconds() {
     let rows = || vec![row("r-1", Some(1_000), &[follower("f", 0)], 20_000)];
     let stopped = registry(rows(), 28_000);
     assert_eq!(stopped.members["r-1"].active_reader_since(), None);
     assert!(stopped.is_settled());
-    // Its rows have expired: any number of nodes may have been replaced.
+    // The rows have expired: any number of nodes may have been replaced.
     assert!(!registry(rows(), 40_000).is_settled());
     let starting = vec![row("r-1", Some(19_000), &[], 20_000)];
     assert!(!registry(starting, 20_500).is_settled());
