--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// State of the reader at one time.
+/// Data of the reader at one time.
 trait Snapshot {
     /// Number that differs between different snapshots.
     fn revision(&self) -> u64;
