--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -150,7 +150,8 @@
     }
 }
 
-/// The interval between renewals: shorter while the permission rests on confirmations alone.
+/// The interval between renewals: shorter while the permission rests on confirmations
+/// alone.
 fn renewal_interval<P: Platform>(gateway: &Gateway<P>) -> Duration {
     if gateway.cluster.permission.needs_confirmation() {
         CONFIRMATION_INTERVAL
@@ -266,8 +267,8 @@
         }
     }
 
-    /// Converts a moment in a reader's message to this node's clock; `None` if its renewal is
-    /// not known.
+    /// Converts a moment in a reader's message to this node's clock; `None` if its
+    /// renewal is not known.
     fn moment_of(&self, list: Option<RelativeTimestamp>) -> Option<Instant> {
         let list = list?;
         list.resolve(lock(self.renewals).sent_at(list.renewal)?)
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -74,9 +74,9 @@
         cached(&self.evacuations, as_of.to_bits(), key, message)
     }
 
-    /// Returns the present fleet and its frame for a follower that was last sent `sent`: the
-    /// changes since, or all nodes. No frame if nothing has changed; `None` while not all
-    /// nodes are known.
+    /// Returns the present fleet and its frame for a follower that was last sent
+    /// `sent`: the changes since, or all nodes. No frame if nothing has changed; `None`
+    /// while not all nodes are known.
     pub fn fleet(
         &self,
         sent: Option<&Arc<FleetSnapshot>>,
@@ -129,7 +129,8 @@
         current
     }
 
-    /// The complete state for a follower that was sent nothing, the changes since for others.
+    /// The complete state for a follower that was sent nothing, the changes since for
+    /// others.
     fn frame_since(&mut self, sent: Option<&Arc<S>>, current: &S, key: &PeerKey) -> Option<Frame> {
         let Some(sent) = sent else {
             let full = self.full.get_or_insert_with(|| frame(&current.full(), key));
@@ -242,8 +243,8 @@
 }
 
 impl FleetFrames {
-    /// Returns the fleet as of at most [`FLEET_INTERVAL`] ago; `None` while not all nodes are
-    /// known.
+    /// Returns the fleet as of at most [`FLEET_INTERVAL`] ago; `None` while not all
+    /// nodes are known.
     fn refresh(&mut self, fleet: &Fleet) -> Option<Arc<FleetSnapshot>> {
         let current = self.frames.current.clone();
         let is_recent = self
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -29,7 +29,8 @@
 const CHANGE_BATCH_TIME: Duration = Duration::from_millis(10);
 /// How long a follower of a new reader waits for the store's first answers.
 const FIRST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a follower waits for its first renewal to arrive, and again for a row to list it.
+/// How long a follower waits for its first renewal to arrive, and again for a row to
+/// list it.
 const LISTING_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What was last sent to a follower.
@@ -143,8 +144,8 @@
     Ok(())
 }
 
-/// Sends a follower all changes while this node reads the store. Each beat carries the age of
-/// the reader's data, so followers notice a reader that has lost the store.
+/// Sends a follower all changes while this node reads the store. Each beat carries the
+/// age of the reader's data, so followers notice a reader that has lost the store.
 async fn send_updates<P: Platform>(
     gateway: &Gateway<P>,
     writing: &SharedWriter,
@@ -189,8 +190,8 @@
                 return;
             }
         }
-        // The beat goes last, since it confirms all messages before it. Its age includes the
-        // time that writing them took.
+        // The beat goes last, since it confirms all messages before it. Its age
+        // includes the time that writing them took.
         let beat = FeedMessage::Heartbeat {
             age: age + as_of.elapsed(),
             list_as_of,
@@ -205,7 +206,8 @@
     }
 }
 
-/// As of when this node knows the list of instances, relative to the follower's last renewal.
+/// As of when this node knows the list of instances, relative to the follower's last
+/// renewal.
 fn list_moment<P: Platform>(
     gateway: &Gateway<P>,
     arrival: &watch::Receiver<Option<Arrival>>,
@@ -245,8 +247,8 @@
     listing.await
 }
 
-/// Notices to a follower that a row that lists it was written, or that enough nodes confirmed
-/// this node's permission, since the last notice.
+/// Notices to a follower that a row that lists it was written, or that enough nodes
+/// confirmed this node's permission, since the last notice.
 fn permission_notices<P: Platform>(
     gateway: &Gateway<P>,
     arrival: &watch::Receiver<Option<Arrival>>,
--- a/crates/linkhold-gateway/src/followers.rs
+++ b/crates/linkhold-gateway/src/followers.rs
@@ -214,7 +214,8 @@
         }
     }
 
-    /// Removes a follower that left or has ended: other nodes need not wait for its answers.
+    /// Removes a follower that left or has ended: other nodes need not wait for its
+    /// answers.
     pub fn remove(&self, process: &Process) {
         lock(&self.table).followers.remove(process);
         self.changed.notify_one();
@@ -271,8 +272,8 @@
             .collect()
     }
 
-    /// Composes the list for a row and drops followers that are no longer consulted. At most
-    /// [`MAX_FOLLOWERS`] are listed, those with the latest renewals.
+    /// Composes the list for a row and drops followers that are no longer consulted. At
+    /// most [`MAX_FOLLOWERS`] are listed, those with the latest renewals.
     pub fn list(&self) -> FollowerList {
         let mut table = lock(&self.table);
         table
--- a/crates/linkhold-gateway/src/lease_format.rs
+++ b/crates/linkhold-gateway/src/lease_format.rs
@@ -109,8 +109,8 @@
         lock(&self.leases).insert(service.clone(), lease.clone());
     }
 
-    /// Whether this node, as far as it knows, was the last to claim the service's lease, and
-    /// did so in this era of the store.
+    /// Whether this node, as far as it knows, was the last to claim the service's
+    /// lease, and did so in this era of the store.
     pub fn holds(&self, service: &str, node: &str, era: Era) -> bool {
         lock(&self.leases)
             .get(service)
--- a/crates/linkhold-gateway/src/liveness.rs
+++ b/crates/linkhold-gateway/src/liveness.rs
@@ -1,8 +1,8 @@
 //! Whether the process at another node's address still runs.
 //!
-//! A machine whose process has ended refuses connections. A machine without power or behind
-//! a network cut, or a paused process, does not answer. Only a refusal proves that no process
-//! runs there.
+//! A machine whose process has ended refuses connections. A machine without power or
+//! behind a network cut, or a paused process, does not answer. Only a refusal proves
+//! that no process runs there.
 
 use std::collections::HashMap;
 use std::io;
@@ -53,8 +53,8 @@
 pub(crate) struct Liveness(Arc<Mutex<HashMap<SocketAddr, ProbeResult>>>);
 
 impl Liveness {
-    /// Returns the last known state of a node's process, `None` if there is none yet. Starts
-    /// a new probe if the last result is too old, without waiting for it.
+    /// Returns the last known state of a node's process, `None` if there is none yet.
+    /// Starts a new probe if the last result is too old, without waiting for it.
     pub fn last_state(&self, address: SocketAddr) -> Option<ProcessState> {
         let probed_at = Instant::now();
         let mut results = lock(&self.0);
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -272,8 +272,8 @@
         .await;
 }
 
-/// Whether this node may answer for an instance. An instance that is the known primary by its
-/// entry alone proves nothing about a service's primary.
+/// Whether this node may answer for an instance. An instance that is the known primary
+/// by its entry alone proves nothing about a service's primary.
 fn may_answer_for<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
@@ -311,9 +311,10 @@
     found
 }
 
-/// Reachability of an instance as known to a node that does not watch it, without connecting.
-/// When 327 nodes each connected to one primary that takes 140 connections, they considered
-/// it lost and asked in turn: 72,022 connections were reset within a minute.
+/// Reachability of an instance as known to a node that does not watch it, without
+/// connecting. When 327 nodes each connected to one primary that takes 140 connections,
+/// they considered it lost and asked in turn: 72,022 connections were reset within a
+/// minute.
 fn known_reachability<P: Platform>(gateway: &Gateway<P>, instance: &Instance) -> Reachability {
     let earliest = Instant::now().checked_sub(PROBE_RESULT_LIFETIME);
     match earliest {
@@ -322,7 +323,8 @@
     }
 }
 
-/// Probes an instance that this node watches, once for all questions at about the same time.
+/// Probes an instance that this node watches, once for all questions at about the same
+/// time.
 async fn probe<P: Platform>(gateway: &Gateway<P>, instance: &Arc<Instance>) -> Reachability {
     let probe = gateway.peers.probe(&instance.id);
     let mut last = probe.lock().await;
--- a/crates/linkhold-gateway/src/peers/questions.rs
+++ b/crates/linkhold-gateway/src/peers/questions.rs
@@ -31,8 +31,8 @@
 pub(crate) struct Audience {
     /// Nodes whose silence counts.
     nodes: Vec<SocketAddr>,
-    /// Nodes whose entries expired recently without a leave notice: their answers count, their
-    /// silence does not.
+    /// Nodes whose entries expired recently without a leave notice: their answers
+    /// count, their silence does not.
     former: Vec<SocketAddr>,
 }
 
@@ -58,9 +58,9 @@
         self
     }
 
-    /// All nodes as the store lists them now. If the store does not answer and the authority
-    /// itself refuses old tokens, all nodes as this node knows them. The error is the reason
-    /// why not all nodes are known, for the log.
+    /// All nodes as the store lists them now. If the store does not answer and the
+    /// authority itself refuses old tokens, all nodes as this node knows them. The
+    /// error is the reason why not all nodes are known, for the log.
     pub async fn all_nodes<P: Platform>(gateway: &Gateway<P>) -> Result<Self, &'static str> {
         match registration::list_nodes(gateway).await {
             Ok(listed) => {
@@ -100,8 +100,8 @@
 }
 
 impl PeerFindings {
-    /// Whether enough of the asked nodes agreed, this one included, so that no node keeps its
-    /// permission by confirmations alone.
+    /// Whether enough of the asked nodes agreed, this one included, so that no node
+    /// keeps its permission by confirmations alone.
     pub fn have_enough_agreed(&self) -> bool {
         let tally = self.tally;
         let agreed = 1 + tally.unreached + tally.not_primary + self.agreed_former;
@@ -126,8 +126,8 @@
     }
 }
 
-/// Notifies all nodes that were asked to agree that no promotion is ordered. If a message is
-/// lost, its receiver withholds for the whole time for which it agreed.
+/// Notifies all nodes that were asked to agree that no promotion is ordered. If a
+/// message is lost, its receiver withholds for the whole time for which it agreed.
 pub(crate) async fn release<P: Platform>(gateway: &Gateway<P>, number: u64, audience: &Audience) {
     gateway.cluster.release(number);
     let (Some(key), Some(socket)) = (gateway.fleet.key(), gateway.peers.socket()) else {
@@ -171,8 +171,8 @@
     findings
 }
 
-/// Collects answers until all nodes have answered or [`ANSWER_TIMEOUT`] is over. Returns the
-/// nodes that did not answer.
+/// Collects answers until all nodes have answered or [`ANSWER_TIMEOUT`] is over.
+/// Returns the nodes that did not answer.
 async fn collect(
     socket: &UdpSocket,
     audience: &Audience,
--- a/crates/linkhold-gateway/src/sources.rs
+++ b/crates/linkhold-gateway/src/sources.rs
@@ -22,7 +22,8 @@
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause before another reader is tried.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
-/// How long a node that found no reader reads the store itself before it tries readers again.
+/// How long a node that found no reader reads the store itself before it tries readers
+/// again.
 const STANDALONE_READ_TIME: Duration = Duration::from_millis(5_000);
 /// Number of readers tried in a first round: of this node's region, and of other regions.
 const FIRST_ROUND: [usize; 2] = [3, 2];
--- a/crates/linkhold-gateway/src/state/fleet.rs
+++ b/crates/linkhold-gateway/src/state/fleet.rs
@@ -69,7 +69,8 @@
 const UNLISTED_RETENTION: Duration = Duration::from_millis(5_000);
 
 impl View {
-    /// Records a read of the fleet at `now`. Returns whether unlisted nodes stay in the view.
+    /// Records a read of the fleet at `now`. Returns whether unlisted nodes stay in the
+    /// view.
     fn retains_unlisted(&mut self, now: Instant) -> bool {
         let has_gap = self.read_at.is_none_or(|at| at + MAX_READ_GAP < now);
         if self.is_settled && has_gap {
--- a/crates/linkhold-gateway/src/state/sources.rs
+++ b/crates/linkhold-gateway/src/state/sources.rs
@@ -91,8 +91,8 @@
         let _ = timeout(limit, answered.changed()).await;
     }
 
-    /// Age of the older of the last answers about configuration and instances; `None` unless
-    /// the node reads the store and has both.
+    /// Age of the older of the last answers about configuration and instances; `None`
+    /// unless the node reads the store and has both.
     pub fn age(&self) -> Option<Duration> {
         if !self.is_reading() {
             return None;
