--- a/crates/linkhold-gateway/src/feed/follower.rs
+++ b/crates/linkhold-gateway/src/feed/follower.rs
@@ -170,11 +170,11 @@
     renewals: &'a Mutex<SentRenewals>,
     /// When this stream was opened.
     followed_at: Instant,
-    /// Received messages that no beat has confirmed yet.
+    /// Received messages that no heartbeat has confirmed yet.
     pending: Vec<FeedMessage>,
-    /// Instances that no beat has confirmed yet.
+    /// Instances that no heartbeat has confirmed yet.
     instances: PendingInstances,
-    /// The fleet, with changes that no beat has confirmed yet.
+    /// The fleet, with changes that no heartbeat has confirmed yet.
     fleet: PendingFleet,
 }
 
@@ -193,7 +193,9 @@
                 Err(lost) => return lost,
             };
             let next = match message {
-                FeedMessage::Heartbeat { age, list_as_of } => self.handle_beat(age, list_as_of),
+                FeedMessage::Heartbeat { age, list_as_of } => {
+                    self.handle_heartbeat(age, list_as_of)
+                }
                 FeedMessage::EvidenceAnswer(answer) => {
                     self.gateway.reader_link.deliver(answer);
                     continue;
@@ -217,7 +219,7 @@
                 }
                 message => {
                     self.hold(message);
-                    // The beat that confirms the message follows at once.
+                    // The heartbeat that confirms the message follows at once.
                     silent_at = silent_at.max(Instant::now() + STALL_TIMEOUT);
                     continue;
                 }
@@ -269,12 +271,12 @@
 
     /// Converts a moment in a reader's message to this node's clock; `None` if its
     /// renewal is not known.
-    fn moment_of(&self, list: Option<RelativeTimestamp>) -> Option<Instant> {
-        let list = list?;
-        list.resolve(lock(self.renewals).sent_at(list.renewal)?)
+    fn moment_of(&self, list_as_of: Option<RelativeTimestamp>) -> Option<Instant> {
+        let list_as_of = list_as_of?;
+        list_as_of.resolve(lock(self.renewals).sent_at(list_as_of.renewal)?)
     }
 
-    /// Holds a message until a beat confirms it.
+    /// Holds a message until a heartbeat confirms it.
     fn hold(&mut self, message: FeedMessage) {
         match message {
             FeedMessage::Instances(known) => self.instances.replace(known),
@@ -313,12 +315,12 @@
         decode_feed(&body, key).map_err(|_| LossReason::Broken)
     }
 
-    /// Handles a beat: adopts the pending messages if the reader's data, `age` old, is
+    /// Handles a heartbeat: adopts the pending messages if the reader's data, `age` old, is
     /// trusted. Returns until when the reader may be silent.
-    fn handle_beat(
+    fn handle_heartbeat(
         &mut self,
         age: Duration,
-        list: Option<RelativeTimestamp>,
+        list_as_of: Option<RelativeTimestamp>,
     ) -> Result<Instant, LossReason> {
         let now = Instant::now();
         let freshness = self.gateway.freshness;
@@ -339,7 +341,7 @@
         if let Some(moment) = now.checked_sub(age) {
             self.gateway.cluster.confirm_evacuations_as_of(moment);
         }
-        if let Some(moment) = self.moment_of(list) {
+        if let Some(moment) = self.moment_of(list_as_of) {
             self.gateway.cluster.confirm_directory_as_of(moment);
         }
         let silent_at = now + (freshness.trust_period - age);
@@ -356,7 +358,7 @@
     }
 }
 
-/// Adopts a message that a beat has confirmed.
+/// Adopts a message that a heartbeat has confirmed.
 fn adopt<P: Platform>(gateway: &Gateway<P>, message: FeedMessage) {
     match message {
         FeedMessage::Configuration(configuration) => {
@@ -366,8 +368,8 @@
             let cluster = &gateway.cluster;
             cluster.replace_evacuations(known.zones, known.revision, Instant::now());
         }
-        // A beat only confirms, instances and the fleet are held apart, and a follower has
-        // no use for the others.
+        // A heartbeat only confirms, instances and the fleet are held apart, and a
+        // follower has no use for the others.
         FeedMessage::Heartbeat { .. }
         | FeedMessage::Fleet(_)
         | FeedMessage::FleetChanges(_)
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -151,18 +151,18 @@
 pub(crate) struct InstanceSnapshot {
     /// Counts changes of the list of instances and of the configuration.
     revision: u64,
-    place: StoreRevision,
+    store_revision: StoreRevision,
     instances: HashMap<InstanceId, (Instance, bool)>,
 }
 
 impl InstanceSnapshot {
     fn take(revision: u64, cluster: &ClusterState) -> Self {
         // Read first: the instances may be newer than this, never older.
-        let place = cluster.directory_revision();
+        let store_revision = cluster.directory_revision();
         let instances = cluster.all_instances().into_iter();
         Self {
             revision,
-            place,
+            store_revision,
             instances: instances
                 .map(|(instance, is_listed)| (instance.id.clone(), (instance, is_listed)))
                 .collect(),
@@ -177,7 +177,7 @@
 
     fn full(&self) -> FeedMessage {
         FeedMessage::Instances(FeedInstances {
-            revision: self.place,
+            revision: self.store_revision,
             instances: self.instances.values().cloned().collect(),
         })
     }
@@ -189,7 +189,7 @@
         let changed = self.instances.iter().filter(is_new);
         let is_gone = |id: &&InstanceId| !self.instances.contains_key(*id);
         let changes = FeedInstanceChanges {
-            revision: self.place,
+            revision: self.store_revision,
             changed: changed.map(|(_, entry)| entry.clone()).collect(),
             removed: before.instances.keys().filter(is_gone).cloned().collect(),
         };
--- a/crates/linkhold-gateway/src/feed/pending.rs
+++ b/crates/linkhold-gateway/src/feed/pending.rs
@@ -1,5 +1,5 @@
-//! Data received from a reader and not yet confirmed by a beat: complete at first, then
-//! changes.
+//! Data received from a reader and not yet confirmed by a heartbeat: complete at first,
+//! then changes.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -23,8 +23,8 @@
 use crate::ports::Platform;
 use crate::registry::Process;
 
-/// Longest interval between two beats to a follower.
-const BEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest interval between two heartbeats to a follower.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Changes within this time are sent together.
 const CHANGE_BATCH_TIME: Duration = Duration::from_millis(10);
 /// How long a follower of a new reader waits for the store's first answers.
@@ -144,7 +144,7 @@
     Ok(())
 }
 
-/// Sends a follower all changes while this node reads the store. Each beat carries the
+/// Sends a follower all changes while this node reads the store. Each heartbeat carries the
 /// age of the reader's data, so followers notice a reader that has lost the store.
 async fn send_updates<P: Platform>(
     gateway: &Gateway<P>,
@@ -161,8 +161,8 @@
         if gateway.is_leaving() {
             return;
         }
-        // Once per beat interval, however many changes are sent meanwhile.
-        if shed_checked_at.elapsed() >= BEAT_INTERVAL {
+        // Once per heartbeat interval, however many changes are sent meanwhile.
+        if shed_checked_at.elapsed() >= HEARTBEAT_INTERVAL {
             shed_checked_at = Instant::now();
             if should_shed(gateway) {
                 return;
@@ -178,7 +178,7 @@
         }
         changes.mark_unchanged();
         // Taken before the updates: the list sent is at least as recent as this moment.
-        let list_as_of = list_moment(gateway, &arrival);
+        let list_as_of = list_timestamp(gateway, &arrival);
         let mut frames = if is_listed {
             updates(gateway, &mut sent, key)
         } else {
@@ -190,25 +190,28 @@
                 return;
             }
         }
-        // The beat goes last, since it confirms all messages before it. Its age
+        // The heartbeat goes last, since it confirms all messages before it. Its age
         // includes the time that writing them took.
-        let beat = FeedMessage::Heartbeat {
+        let heartbeat = FeedMessage::Heartbeat {
             age: age + as_of.elapsed(),
             list_as_of,
         };
-        let beat = frame(&beat, key);
-        if send(gateway, writing, FeedKind::Beat, &beat).await.is_err() {
+        let heartbeat = frame(&heartbeat, key);
+        if send(gateway, writing, FeedKind::Beat, &heartbeat)
+            .await
+            .is_err()
+        {
             return;
         }
-        // A beat is due after the interval even without a change.
-        let _ = timeout(BEAT_INTERVAL, changes.changed()).await;
+        // A heartbeat is due after the interval even without a change.
+        let _ = timeout(HEARTBEAT_INTERVAL, changes.changed()).await;
         sleep(CHANGE_BATCH_TIME).await;
     }
 }
 
 /// As of when this node knows the list of instances, relative to the follower's last
 /// renewal.
-fn list_moment<P: Platform>(
+fn list_timestamp<P: Platform>(
     gateway: &Gateway<P>,
     arrival: &watch::Receiver<Option<Arrival>>,
 ) -> Option<RelativeTimestamp> {
