--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -334,8 +334,8 @@
         }
     }
 
-    /// Takes an idle connection for a statement; `None` if it is not lent or a statement
-    /// runs on it.
+    /// Takes an idle connection for a statement; `None` if it is not lent or a
+    /// statement runs on it.
     fn resume(&self, number: u64) -> Option<Lease<ConnectionOf<P>>> {
         let mut slots = lock(&self.slots);
         let slot = slots.as_mut()?.get_mut(&number)?;
@@ -421,8 +421,8 @@
             .fetch_sub(before - slots.len(), Ordering::Relaxed);
     }
 
-    /// Ends all lending after the stream has ended: idle connections are rolled back and
-    /// given back.
+    /// Ends all lending after the stream has ended: idle connections are rolled back
+    /// and given back.
     fn release_all(&self) {
         let slots = lock(&self.slots).take().unwrap_or_default();
         self.count.fetch_sub(slots.len(), Ordering::Relaxed);
--- a/crates/linkhold-gateway/src/owners.rs
+++ b/crates/linkhold-gateway/src/owners.rs
@@ -24,10 +24,11 @@
     pub count: usize,
     /// Whether this node is an owner.
     pub includes_self: bool,
-    /// All owners, in the order in which this node asks them for statements of no tenant.
+    /// All owners, in the order in which this node asks them for statements of no
+    /// tenant.
     members: Vec<Owner>,
-    /// The first owners in the order that all nodes share: only they send to the instance
-    /// while it is cold.
+    /// The first owners in the order that all nodes share: only they send to the
+    /// instance while it is cold.
     senders: Vec<Owner>,
     /// This node's index in that order; `None` if it is not an owner.
     rank: Option<usize>,
@@ -51,8 +52,8 @@
 }
 
 /// Addresses of owners that may be handed a statement, in the order in which they are
-/// asked. Only [`InstanceOwners`] constructs it, so no statement is handed to a node in a
-/// region that its request does not allow.
+/// asked. Only [`InstanceOwners`] constructs it, so no statement is handed to a node in
+/// a region that its request does not allow.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PermittedOwners(Vec<SocketAddr>);
 
@@ -85,8 +86,8 @@
         PermittedOwners(permitted.map_while(|owner| owner.address).collect())
     }
 
-    /// This node's index among the owners, in the order that all nodes share; `None` if it
-    /// is not an owner.
+    /// This node's index among the owners, in the order that all nodes share; `None` if
+    /// it is not an owner.
     pub fn rank(&self) -> Option<usize> {
         self.rank
     }
@@ -175,8 +176,8 @@
         lock(&self.state).by_instance.remove(id);
     }
 
-    /// Determines the owners of an instance: nodes of its zone if there are enough, else
-    /// of its region, or of anywhere if the region has none.
+    /// Determines the owners of an instance: nodes of its zone if there are enough,
+    /// else of its region, or of anywhere if the region has none.
     fn determine(&self, nodes: &[OwnerCandidate], instance: &Instance) -> InstanceOwners {
         let region = self.zone_map.region(&instance.zone);
         let in_zone: Vec<&OwnerCandidate> = nodes
--- a/crates/linkhold-gateway/src/pool/lease.rs
+++ b/crates/linkhold-gateway/src/pool/lease.rs
@@ -12,8 +12,8 @@
 use crate::gate::Gate;
 use crate::ports::{BackendConnection, Command};
 
-/// How long a connection that may be silent for good has to answer a check: six times the
-/// round trip between regions.
+/// How long a connection that may be silent for good has to answer a check: six times
+/// the round trip between regions.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A connection in use. It is closed if dropped without [`Lease::release`].
@@ -74,7 +74,8 @@
         self.pool.suspect_used_before(sent_at);
     }
 
-    /// Checks whether the connection still answers, by rolling back its open transaction.
+    /// Checks whether the connection still answers, by rolling back its open
+    /// transaction.
     pub(super) async fn answers(&mut self) -> bool {
         let pooled = self.pooled();
         let checking = pooled.connection.exchange(&[Command::Rollback]);
--- a/crates/linkhold-gateway/src/pool/mod.rs
+++ b/crates/linkhold-gateway/src/pool/mod.rs
@@ -5,12 +5,12 @@
 //! * At most `limit` connections are open or being opened at a time.
 //! * A connection has one user from checkout to release. It is given back only after
 //!   every reply was read; one whose state is in doubt is closed.
-//! * A connection belongs to one holder for as long as it is open: it is handed out only
-//!   for statements of that holder.
+//! * A connection belongs to one holder for as long as it is open: it is handed out
+//!   only for statements of that holder.
 //! * Waiters of one holder are served by urgency, then in the order of their arrival.
-//!   Where only connections of other holders are idle, the one that has been idle longest
-//!   is closed to make room. A holder with waiters keeps its connections from other
-//!   holders for [`OTHER_HOLDER_MAX_WAIT`] at most.
+//!   Where only connections of other holders are idle, the one that has been idle
+//!   longest is closed to make room. A holder with waiters keeps its connections from
+//!   other holders for [`OTHER_HOLDER_MAX_WAIT`] at most.
 
 mod lease;
 mod opener;
@@ -43,9 +43,9 @@
 /// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long other holders wait for a permit while a holder's connections pass from one of
-/// its waiters to the next: three times what a new connection costs an instance, so that
-/// a permit changes holders only where that costs less than the wait.
+/// How long other holders wait for a permit while a holder's connections pass from one
+/// of its waiters to the next: three times what a new connection costs an instance, so
+/// that a permit changes holders only where that costs less than the wait.
 const OTHER_HOLDER_MAX_WAIT: Duration = Duration::from_millis(40);
 
 /// Why a checkout failed. Nothing was sent to the instance.
@@ -186,8 +186,8 @@
     }
 
     /// Takes a connection for a principal, preferably one with the principal's session
-    /// values; waits for one until `deadline`. A connection that is being opened is opened
-    /// to the end even if its waiter has left.
+    /// values; waits for one until `deadline`. A connection that is being opened is
+    /// opened to the end even if its waiter has left.
     pub(crate) async fn checkout<O: Opener<C>>(
         self: &Arc<Self>,
         opener: &Arc<O>,
@@ -254,7 +254,8 @@
     }
 
     /// Suspects the connections that were last used before `sent_at`: a statement that
-    /// was sent then got no answer on another connection, and they may be silent as well.
+    /// was sent then got no answer on another connection, and they may be silent as
+    /// well.
     pub(crate) fn suspect_used_before(&self, sent_at: Instant) {
         let mut state = lock(&self.state);
         state.suspect_before = state.suspect_before.max(Some(sent_at));
@@ -310,8 +311,8 @@
     }
 
     /// Fails the waiters after a connection could not be opened, since the next attempt
-    /// would end alike. Where the instance may have no connection left, only the waiters
-    /// of `holder` fail: others may still get a connection that is open.
+    /// would end alike. Where the instance may have no connection left, only the
+    /// waiters of `holder` fail: others may still get a connection that is open.
     fn fail_waiters(&self, holder: &ConnectionHolder, error: ConnectError) {
         let affects_all = match error {
             ConnectError::Unreachable | ConnectError::WrongInstance => true,
@@ -414,7 +415,8 @@
     }
 }
 
-/// A waiter's entry in the queue. When dropped, it passes on a grant that was not taken.
+/// A waiter's entry in the queue. When dropped, it passes on a grant that was not
+/// taken.
 struct Waiting<'a, C: BackendConnection> {
     pool: &'a Pool<C>,
     key: WaiterKey,
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -59,8 +59,8 @@
         pool
     }
 
-    /// The owners of the connections to an instance; `None` if all nodes hold some, which
-    /// is so if there are enough of them and the service has no warm-up limit.
+    /// The owners of the connections to an instance; `None` if all nodes hold some,
+    /// which is so if there are enough of them and the service has no warm-up limit.
     pub(crate) fn designated_owners(
         &self,
         instance: &Instance,
@@ -104,8 +104,8 @@
         self.refresh_shares(cluster);
     }
 
-    /// Recomputes all shares: limits may have changed, or the node may no longer count as
-    /// just started.
+    /// Recomputes all shares: limits may have changed, or the node may no longer count
+    /// as just started.
     pub fn refresh_shares(&self, cluster: &ClusterState) {
         self.is_crowded.store(false, Ordering::Relaxed);
         let pools: Vec<Arc<Pool<C>>> = lock(&self.pools).values().cloned().collect();
@@ -134,8 +134,8 @@
         self.is_crowded.load(Ordering::Relaxed)
     }
 
-    /// Closes connections that have not been used for a while, except for those that are
-    /// kept ready.
+    /// Closes connections that have not been used for a while, except for those that
+    /// are kept ready.
     pub fn close_unused(&self) {
         for pool in lock(&self.pools).values() {
             pool.close_unused();
--- a/crates/linkhold-gateway/src/relay.rs
+++ b/crates/linkhold-gateway/src/relay.rs
@@ -1,21 +1,23 @@
-//! Relayed connections: connections to a primary that this node does not reach, through a
-//! node that does.
+//! Relayed connections: connections to a primary that this node does not reach, through
+//! a node that does.
 //!
 //! After a partition, only some nodes may reach a primary. It is not replaced, since it
-//! goes on acknowledging commits; a node on the other side opens its connections through a
-//! peer that answered that it reaches the primary. The peer only passes bytes on: whatever
-//! a broken connection proves or leaves open holds for a relayed one as well.
+//! goes on acknowledging commits; a node on the other side opens its connections
+//! through a peer that answered that it reaches the primary. The peer only passes bytes
+//! on: whatever a broken connection proves or leaves open holds for a relayed one as
+//! well.
 //!
 //! # Invariants
 //!
 //! * A relayed connection is not reused once it is older than
-//!   [`crate::pool::MAX_RELAYED_AGE`], so that a peer that stops loses it between requests.
+//!   [`crate::pool::MAX_RELAYED_AGE`], so that a peer that stops loses it between
+//!   requests.
 //! * A peer relays only to instances of its own directory and for nodes that hold the
 //!   fleet's key, and starts no relay while it is leaving.
 //! * A connection for requests that are restricted to some regions is relayed only by a
 //!   peer in these regions.
-//! * A peer that agrees to the replacement of a primary closes what it relays to it. The
-//!   nodes that it relays for agree as well, since the peer may not have been asked.
+//! * A peer that agrees to the replacement of a primary closes what it relays to it.
+//!   The nodes that it relays for agree as well, since the peer may not have been asked.
 
 use std::io;
 use std::net::SocketAddr;
@@ -40,8 +42,8 @@
 
 /// How long a peer may take to connect to the instance and confirm it.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a connection is relayed for another node at most, so that one whose other end
-/// went silent does not stay open forever.
+/// How long a connection is relayed for another node at most, so that one whose other
+/// end went silent does not stay open forever.
 const MAX_RELAY_TIME: Duration = Duration::from_secs(30);
 /// How often a relay checks whether it may go on.
 const FORBIDDEN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -61,8 +63,8 @@
     }
 }
 
-/// Connects to an instance: directly or, if this node does not reach it, through a peer in
-/// the allowed regions.
+/// Connects to an instance: directly or, if this node does not reach it, through a peer
+/// in the allowed regions.
 async fn connect<P: Platform>(
     gateway: &Gateway<P>,
     instance: &Instance,
--- a/crates/linkhold-gateway/src/state/forwarding.rs
+++ b/crates/linkhold-gateway/src/state/forwarding.rs
@@ -42,8 +42,8 @@
         self.lent_connections.load(Ordering::Relaxed)
     }
 
-    /// Stops using an owner for a while: it was unreachable or silent, or did not take a
-    /// statement.
+    /// Stops using an owner for a while: it was unreachable or silent, or did not take
+    /// a statement.
     pub fn suspend(&self, owner: SocketAddr, reason: &'static str) {
         let until = Instant::now() + OWNER_SUSPENSION;
         lock(&self.suspended_until).insert(owner, until);
--- a/crates/linkhold-gateway/src/state/relays.rs
+++ b/crates/linkhold-gateway/src/state/relays.rs
@@ -12,7 +12,8 @@
 
 use crate::cluster_state::lock;
 
-/// How long the peers of an instance stay in use after a connection through one was made.
+/// How long the peers of an instance stay in use after a connection through one was
+/// made.
 const PATH_LIFETIME: Duration = Duration::from_millis(3_000);
 /// How often a direct connection is tried while connections are relayed.
 const DIRECT_ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -37,8 +38,8 @@
     pub region: RegionName,
 }
 
-/// Paths to instances that this node reaches through peers, and the number of connections
-/// that it relays for other nodes.
+/// Paths to instances that this node reaches through peers, and the number of
+/// connections that it relays for other nodes.
 #[derive(Default)]
 pub(crate) struct Relays {
     paths: Mutex<HashMap<InstanceId, Path>>,
@@ -61,8 +62,8 @@
         lock(&self.paths).insert(id.clone(), path);
     }
 
-    /// Ends relaying to an instance that is reached directly, or by no node. Returns whether
-    /// its connections were relayed.
+    /// Ends relaying to an instance that is reached directly, or by no node. Returns
+    /// whether its connections were relayed.
     pub fn forget(&self, id: &InstanceId) -> bool {
         lock(&self.paths).remove(id).is_some()
     }
@@ -94,8 +95,8 @@
         permitted.choose(&mut rand::rng()).copied().cloned()
     }
 
-    /// Whether an instance is reached only through peers of which none is in the allowed
-    /// regions.
+    /// Whether an instance is reached only through peers of which none is in the
+    /// allowed regions.
     pub fn has_no_permitted_peer(&self, id: &InstanceId, regions: &AllowedRegions) -> bool {
         self.is_relayed(id) && self.peer(id, regions).is_none()
     }
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -37,11 +37,11 @@
         self.may_be_warm(rules, entry, now) && self.warmth.is_answered_since(opened_at)
     }
 
-    /// Whether the instance is warm, regardless of whether the last proof is newer than the
-    /// connection. The entry must be that of the instance's current incarnation: when an
-    /// instance restarted while the list of instances was not read, the entry of its
-    /// previous incarnation let 97 statements through in a second where 14 are allowed; when
-    /// it restarted cut off from the store, 160 where 10 are.
+    /// Whether the instance is warm, regardless of whether the last proof is newer than
+    /// the connection. The entry must be that of the instance's current incarnation:
+    /// when an instance restarted while the list of instances was not read, the entry
+    /// of its previous incarnation let 97 statements through in a second where 14 are
+    /// allowed; when it restarted cut off from the store, 160 where 10 are.
     pub fn may_be_warm(&mut self, rules: &WarmUpRules, entry: KnownEntry, now: Instant) -> bool {
         self.warmth
             .record_listing(rules, entry.is_listed, entry.as_of);
@@ -92,8 +92,8 @@
         lock(&self.instances).retain(|id, _| is_present(id));
     }
 
-    /// Requests a new proof after another connection to an instance broke or could not be
-    /// opened: the instance may have restarted.
+    /// Requests a new proof after another connection to an instance broke or could not
+    /// be opened: the instance may have restarted.
     pub fn suspect_restart(&self, id: &InstanceId) {
         let mut instances = lock(&self.instances);
         if let Some(known) = instances.get_mut(id)
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Number of instances that were not known to be warm when this node last sent to them.
+    /// Number of instances that were not known to be warm when this node last sent to
+    /// them.
     pub fn count_held_off(&self) -> usize {
         let instances = lock(&self.instances);
         instances.values().filter(|it| it.is_held_off).count()
--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -1,8 +1,8 @@
 //! Limits on the statements that this node sends to instances that have just started.
 //!
-//! [`linkhold_core::service::warm_up`] holds the rules; this module supplies their inputs,
-//! and [`watch`] keeps the connections that show whether an instance was restarted.
-//! Services without a limit in their configuration cost nothing here.
+//! [`linkhold_core::service::warm_up`] holds the rules; this module supplies their
+//! inputs, and [`watch`] keeps the connections that show whether an instance was
+//! restarted. Services without a limit in their configuration cost nothing here.
 
 mod watch;
 
@@ -18,8 +18,8 @@
 
 pub(crate) use watch::watch_instances;
 
-/// How long a new connection waits for a proof that the instance was not restarted: three
-/// times the round trip between regions.
+/// How long a new connection waits for a proof that the instance was not restarted:
+/// three times the round trip between regions.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(130);
 /// How often a connection that waits for a proof checks for it.
 const PROOF_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -74,8 +74,8 @@
         admitted
     }
 
-    /// Waits for a new proof that an instance is warm if it was warm at the last proof and
-    /// the connection was opened after that.
+    /// Waits for a new proof that an instance is warm if it was warm at the last proof
+    /// and the connection was opened after that.
     pub(crate) async fn wait_for_warm_proof(&self, instance: &Instance, opened_at: Instant) {
         if self.warm_up_limit(instance).is_none() {
             return;
--- a/crates/linkhold-peer/src/datagram.rs
+++ b/crates/linkhold-peer/src/datagram.rs
@@ -25,8 +25,8 @@
         /// Operations of earlier grants that certainly did not run.
         #[n(3)]
         unused: u64,
-        /// Rate that the node had from the first coordinator, which it does not reach, in
-        /// thousandths of operations per second; `None` if it asks the first.
+        /// Rate that the node had from the first coordinator, which it does not reach,
+        /// in thousandths of operations per second; `None` if it asks the first.
         #[n(4)]
         inherited: Option<u64>,
     },
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -117,11 +117,11 @@
     Listed {
         /// The renewal's number.
         number: u64,
-        /// The leases that were claimed lately, which a new follower needs to know; `None`
-        /// if they were not read since the row was written.
+        /// The leases that were claimed lately, which a new follower needs to know;
+        /// `None` if they were not read since the row was written.
         claims: Option<Vec<RecentClaim>>,
-        /// The store's records of earlier promotions, read with the claims; empty without
-        /// claims.
+        /// The store's records of earlier promotions, read with the claims; empty
+        /// without claims.
         records: Vec<(ServiceName, PromotionRecord)>,
     },
     /// Enough nodes confirmed, to a question that the reader sent after a renewal had
@@ -160,8 +160,8 @@
     Heartbeat {
         /// Age of the reader's last answer from the store.
         age: Duration,
-        /// The time as of which the reader knows the list of instances it sent; `None` if
-        /// it knows no such time, or has received no renewal of the follower.
+        /// The time as of which the reader knows the list of instances it sent; `None`
+        /// if it knows no such time, or has received no renewal of the follower.
         list_as_of: Option<RelativeTimestamp>,
     },
 }
@@ -173,8 +173,8 @@
 pub struct RelativeTimestamp {
     /// The renewal's number.
     pub renewal: u64,
-    /// Milliseconds from the renewal's arrival to the time, rounded down; negative if the
-    /// time is earlier.
+    /// Milliseconds from the renewal's arrival to the time, rounded down; negative if
+    /// the time is earlier.
     pub offset_ms: i64,
 }
 
--- a/crates/linkhold-peer/src/forward.rs
+++ b/crates/linkhold-peer/src/forward.rs
@@ -174,7 +174,8 @@
     /// The statement completed, with this signature.
     #[n(0)]
     Completed(#[n(0)] ByteVec),
-    /// The statement was refused or failed: meaning of the error, and its code and text.
+    /// The statement was refused or failed: meaning of the error, and its code and
+    /// text.
     #[n(1)]
     Error(#[n(0)] ForwardErrorKind, #[n(1)] ByteVec),
 }
@@ -232,8 +233,8 @@
         /// The instance's reply to the statement.
         #[n(0)]
         reply: ForwardReply,
-        /// The instance's reply to the start of the transaction, if the statement opened
-        /// one.
+        /// The instance's reply to the start of the transaction, if the statement
+        /// opened one.
         #[n(1)]
         begin: Option<ForwardReply>,
         /// Whether the connection stays lent.
@@ -243,8 +244,8 @@
     /// Certainly not run: no connection was free in time.
     #[n(1)]
     NoConnection,
-    /// Certainly not run: the owner does not reach the instance or no longer has the lent
-    /// connection.
+    /// Certainly not run: the owner does not reach the instance or no longer has the
+    /// lent connection.
     #[n(2)]
     Unreachable,
     /// Certainly not run: this node takes no statements for the instance.
--- a/crates/linkhold-peer/src/reachability.rs
+++ b/crates/linkhold-peer/src/reachability.rs
@@ -29,8 +29,8 @@
     /// To find out whether the instance is lost.
     #[n(0)]
     Probe,
-    /// To replace the instance. A node that answers [`Reachability::Unreached`] agrees to
-    /// acknowledge nothing that the instance commits for a while.
+    /// To replace the instance. A node that answers [`Reachability::Unreached`] agrees
+    /// to acknowledge nothing that the instance commits for a while.
     #[n(1)]
     Replace,
 }
@@ -82,12 +82,13 @@
         /// Result of the attempt to reach the instance.
         #[n(1)]
         found: Reachability,
-        /// The instance that was reached as the primary, if the question names a service.
+        /// The instance that was reached as the primary, if the question names a
+        /// service.
         #[n(2)]
         primary: Option<String>,
     },
-    /// Withdraws a question with the purpose [`QuestionPurpose::Replace`]: the asking node
-    /// orders no replacement.
+    /// Withdraws a question with the purpose [`QuestionPurpose::Replace`]: the asking
+    /// node orders no replacement.
     #[n(4)]
     Release {
         /// The question's number.
@@ -107,8 +108,8 @@
         /// The question's number.
         #[n(0)]
         number: u64,
-        /// The replacements, as [`QuestionSubject`]s are displayed; `None` if the node may
-        /// not acknowledge for primaries itself, or if there are too many.
+        /// The replacements, as [`QuestionSubject`]s are displayed; `None` if the node
+        /// may not acknowledge for primaries itself, or if there are too many.
         #[n(1)]
         agreed: Option<Vec<String>>,
     },
--- a/crates/linkhold-peer/tests/codec.rs
+++ b/crates/linkhold-peer/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Encoding of messages between nodes: what was encoded is decoded unchanged, and any other
-//! bytes are refused.
+//! Encoding of messages between nodes: what was encoded is decoded unchanged, and any
+//! other bytes are refused.
 
 use std::net::SocketAddr;
 
--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -176,9 +176,9 @@
 }
 
 proptest! {
-    /// However long a renewal is in transit, or stays unread, a timestamp relative to it is
-    /// resolved to a time that is not later than the original one, and earlier by no more
-    /// than that delay and a rounding error.
+    /// However long a renewal is in transit, or stays unread, a timestamp relative to
+    /// it is resolved to a time that is not later than the original one, and earlier by
+    /// no more than that delay and a rounding error.
     #[test]
     fn a_relative_timestamp_is_never_resolved_to_a_later_time(
         sent in 10_000_000_u64..11_000_000,
