--- a/crates/linkhold-gateway/src/pool/mod.rs
+++ b/crates/linkhold-gateway/src/pool/mod.rs
@@ -220,8 +220,8 @@
                 has_had_permit: has_permit,
                 sender,
             };
-            let mut waiting = Waiting::start(self, key, waiter, receiver);
-            match tokio::time::timeout_at(deadline, &mut waiting.receiver).await {
+            let mut entry = QueueEntry::start(self, key, waiter, receiver);
+            match tokio::time::timeout_at(deadline, &mut entry.receiver).await {
                 Ok(Ok(Grant::Connection(pooled))) => return Ok(Lease::new(self.clone(), *pooled)),
                 Ok(Ok(Grant::Permit)) => has_permit = true,
                 Ok(Ok(Grant::ConnectFailed(error))) => return Err(CheckoutError::Connect(error)),
@@ -417,13 +417,13 @@
 
 /// A waiter's entry in the queue. When dropped, it passes on a grant that was not
 /// taken.
-struct Waiting<'a, C: BackendConnection> {
+struct QueueEntry<'a, C: BackendConnection> {
     pool: &'a Pool<C>,
     key: WaiterKey,
     receiver: oneshot::Receiver<Grant<C>>,
 }
 
-impl<'a, C: BackendConnection> Waiting<'a, C> {
+impl<'a, C: BackendConnection> QueueEntry<'a, C> {
     fn start(
         pool: &'a Pool<C>,
         key: WaiterKey,
@@ -439,7 +439,7 @@
     }
 }
 
-impl<C: BackendConnection> Drop for Waiting<'_, C> {
+impl<C: BackendConnection> Drop for QueueEntry<'_, C> {
     fn drop(&mut self) {
         lock(&self.pool.state).waiters.remove(&self.key);
         self.receiver.close();
