--- a/crates/linkhold-gateway/src/warm_up/mod.rs
+++ b/crates/linkhold-gateway/src/warm_up/mod.rs
@@ -52,7 +52,7 @@
             return Ok(());
         };
         let rules = &self.settings.warm_up;
-        let standing = self.sender_rank(instance);
+        let rank = self.sender_rank(instance);
         let now = Instant::now();
         let entry = self.known_entry(instance);
         let admitted = self.warm_ups.update(&instance.id, |known| {
@@ -61,7 +61,7 @@
             if is_warm {
                 return Ok(());
             }
-            if !warm_up::may_send(standing) {
+            if !warm_up::may_send(rank) {
                 return Err(OTHER_OWNER_RETRY);
             }
             known
--- a/crates/linkhold-peer/src/feed/leases.rs
+++ b/crates/linkhold-peer/src/feed/leases.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Encode, Decode)]
-pub(super) struct WireLeadRecord {
+pub(super) struct WirePromotionRecord {
     #[n(0)]
     service: String,
     #[n(1)]
@@ -47,16 +47,20 @@
     claimed: Vec<String>,
 }
 
-pub(super) fn lead_record_to_wire(known: &(ServiceName, PromotionRecord)) -> WireLeadRecord {
+pub(super) fn promotion_record_to_wire(
+    known: &(ServiceName, PromotionRecord),
+) -> WirePromotionRecord {
     let (service, record) = known;
-    WireLeadRecord {
+    WirePromotionRecord {
         service: service.to_string(),
         proved_term: record.proved_term.map(|term| term.0),
         claimed: record.claimed.iter().map(ToString::to_string).collect(),
     }
 }
 
-pub(super) fn lead_record_from_wire(wire: WireLeadRecord) -> (ServiceName, PromotionRecord) {
+pub(super) fn promotion_record_from_wire(
+    wire: WirePromotionRecord,
+) -> (ServiceName, PromotionRecord) {
     let claimed = wire.claimed.into_iter().map(|id| InstanceId(id.into()));
     let record = PromotionRecord {
         proved_term: wire.proved_term.map(Term),
--- a/crates/linkhold-peer/src/feed/mod.rs
+++ b/crates/linkhold-peer/src/feed/mod.rs
@@ -23,8 +23,8 @@
 use fleet::{WireFleet, WireNode, node_from_wire, node_to_wire, nodes_from_wire, nodes_to_wire};
 use instances::{WireInstance, instances_from_wire, instances_to_wire};
 use leases::{
-    WireClaim, WireLeadRecord, claim_from_wire, claim_to_wire, lead_record_from_wire,
-    lead_record_to_wire,
+    WireClaim, WirePromotionRecord, claim_from_wire, claim_to_wire, promotion_record_from_wire,
+    promotion_record_to_wire,
 };
 use position::{WirePosition, position_from_wire, position_to_wire};
 
@@ -66,7 +66,7 @@
     Listed(
         #[n(0)] u64,
         #[n(1)] Option<Vec<WireClaim>>,
-        #[n(2)] Option<Vec<WireLeadRecord>>,
+        #[n(2)] Option<Vec<WirePromotionRecord>>,
     ),
     #[n(15)]
     Confirmed(#[n(0)] u64, #[n(1)] Vec<String>),
@@ -109,7 +109,7 @@
             let claims = claims
                 .as_ref()
                 .map(|claims| claims.iter().map(claim_to_wire).collect());
-            let records = records.iter().map(lead_record_to_wire).collect();
+            let records = records.iter().map(promotion_record_to_wire).collect();
             WireMessage::Listed(*number, claims, Some(records))
         }
         FeedMessage::Confirmed { number, agreed } => {
@@ -177,7 +177,7 @@
             records: records
                 .unwrap_or_default()
                 .into_iter()
-                .map(lead_record_from_wire)
+                .map(promotion_record_from_wire)
                 .collect(),
         },
         WireMessage::Confirmed(number, agreed) => FeedMessage::Confirmed { number, agreed },
