--- a/crates/linkhold-core/src/tenancy/credential.rs
+++ b/crates/linkhold-core/src/tenancy/credential.rs
@@ -1,16 +1,16 @@
-//! Secrets by which callers are known.
+//! Secrets that identify callers.
 //!
 //! # Invariant
 //!
-//! The secret itself is kept nowhere: an adapter turns it into a digest as it
-//! reads it, and nothing that is printed, logged or sent shows even that digest
-//! but the configuration that nodes tell each other.
+//! The secret itself is never stored: an adapter turns it into a digest as it
+//! reads it. Even the digest is never printed or logged, and it is sent only in the
+//! configuration that nodes pass to each other.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest that are kept: enough that no two secrets share one.
+/// Bytes of a digest that are kept: enough that no two secrets collide.
 pub const CREDENTIAL_BYTES: usize = 16;
 
 /// A secret's digest. It compares and hashes like the secret and cannot be
@@ -27,12 +27,12 @@
         Self(kept)
     }
 
-    /// A digest that another node told.
+    /// The credential with a digest received from another node.
     pub fn from_digest(digest: [u8; CREDENTIAL_BYTES]) -> Self {
         Self(digest)
     }
 
-    /// The digest, for other nodes.
+    /// The digest, to be sent to other nodes.
     pub fn digest(&self) -> [u8; CREDENTIAL_BYTES] {
         self.0
     }
--- a/crates/linkhold-core/src/tenancy/mod.rs
+++ b/crates/linkhold-core/src/tenancy/mod.rs
@@ -1,6 +1,6 @@
-//! Tenants: who asks, by which secret, and how much each may ask.
+//! Tenants, the credentials of their callers, and their rate limits.
 //!
-//! No I/O and no clock: the shell tells what time it is.
+//! No I/O and no clock: callers pass the current time in.
 
 pub mod budget;
 pub mod credential;
--- a/crates/linkhold-core/src/tenancy/rate.rs
+++ b/crates/linkhold-core/src/tenancy/rate.rs
@@ -1,31 +1,31 @@
-//! What a tenant's limit lets through in a sliding window.
+//! Operations that a tenant's limit allows in a sliding window.
 
 use std::time::{Duration, Instant};
 
 use super::tenant::RateLimit;
 
-/// How limits are counted, as operators set it.
+/// How limits are enforced, as operators configure it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRules {
     /// Length of the sliding window.
     pub window: Duration,
-    /// Part of the limit by which a window may exceed it.
+    /// Fraction of the limit by which a window may exceed it.
     pub overshoot: f64,
-    /// Operations by which a window may exceed it besides.
+    /// Operations by which a window may exceed the limit in addition.
     pub slack: f64,
 }
 
-/// What a limit comes to in one window.
+/// Operations that a rate limit allows in one window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowLimit {
-    /// Operations that a tenant is owed.
+    /// Operations that the tenant is entitled to.
     pub guaranteed: f64,
-    /// Operations that may never be exceeded, whatever goes wrong.
+    /// Upper bound that holds under every fault.
     pub max: f64,
 }
 
 impl QuotaRules {
-    /// What a limit comes to.
+    /// The operations that `limit` allows in a window.
     pub fn window_limit(&self, limit: RateLimit) -> WindowLimit {
         let guaranteed = limit.rate_per_second * self.window.as_secs_f64() + limit.burst;
         WindowLimit {
@@ -35,16 +35,17 @@
     }
 }
 
-/// Counts things that count until a moment of their own.
+/// Counter whose entries each expire at a time of their own.
 #[derive(Clone, Debug, Default)]
 pub struct ExpiringCount {
-    /// In no order of their moments, which differ by less than the longest life.
+    /// Expiry times and amounts, unordered; the times differ by less than the longest
+    /// lifetime.
     entries: Vec<(Instant, u64)>,
     total: u64,
 }
 
 impl ExpiringCount {
-    /// Counts `amount` until a moment.
+    /// Adds `amount`, which expires at `until`.
     pub fn add(&mut self, until: Instant, amount: u64) {
         if amount == 0 {
             return;
@@ -56,20 +57,20 @@
         }
     }
 
-    /// What counts now.
+    /// Sum of the entries that have not expired; removes the others.
     pub fn total(&mut self, now: Instant) -> u64 {
         let total = &mut self.total;
         self.entries.retain(|(until, amount)| {
-            let counts = now < *until;
-            if !counts {
+            let is_valid = now < *until;
+            if !is_valid {
                 *total -= amount;
             }
-            counts
+            is_valid
         });
         self.total
     }
 
-    /// Takes one of what expires first; whether there was one.
+    /// Takes one from the entry that expires first; `false` if there is none.
     pub fn take_one(&mut self, now: Instant) -> bool {
         if self.total(now) == 0 {
             return false;
--- a/crates/linkhold-core/src/tenancy/shares.rs
+++ b/crates/linkhold-core/src/tenancy/shares.rs
@@ -1,22 +1,23 @@
-//! Parts of a tenant's rate that nodes have, for when two coordinators live at once.
+//! Shares of a tenant's rate that nodes had, for when two coordinators run at once.
 //!
-//! A partition may leave a tenant's coordinator with some nodes only; the others turn to
-//! the next one. Neither can tell that the other goes on, so both keep to what their side
-//! had: a node that turns to another coordinator tells it the share that it had
-//! ([`InheritedShare`]), which grants the sum of these and no more, and a coordinator that
-//! nodes no longer ask gives their shares to nobody ([`RequesterShares`]). Both end when the
-//! fleet's list has changed, by which time a coordinator that is cut off grants as a stand-in
-//! alone.
+//! A partition may leave some nodes with a tenant's coordinator while the others switch to
+//! the next one. Neither coordinator can tell that the other still runs, so each limits its
+//! side to the share that this side had before. A node that switches sends its share
+//! ([`InheritedShare`]) to the new coordinator, which grants the sum of these shares and no
+//! more. A coordinator reserves the shares of nodes that no longer ask it
+//! ([`RequesterShares`]) and grants them to no other node. Both rules end once the list of
+//! the fleet has changed; by then a coordinator that is cut off grants only as a stand-in.
 //!
-//! # What is given up
+//! # Costs
 //!
-//! A side may use no more of the quota than it used before. Nodes that are reached, and those
-//! whose processes are known to have ended, hold nothing back.
+//! During a partition a side may use no more of the quota than it used before. Nothing is
+//! reserved for nodes that are reached or whose processes are known to have ended.
 //!
 //! # What can exceed the limit
 //!
-//! A node that asks less than once a second is not missed: its share may be granted twice. A
-//! tenant that begins to press on both sides at once has them measured from there.
+//! The silence of a node that sends less than one request per second is not noticed, so its
+//! share may be granted twice. If a tenant begins to saturate its limit on both sides at
+//! once, their shares are measured from then on.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -26,39 +27,44 @@
 use super::tenant::RateLimit;
 use crate::service::readers::ROW_EXPIRY;
 
-/// How far back a node's share, and how often it asks, is measured.
-const MEASURED: Duration = Duration::from_millis(2_000);
-/// How long a tenant counts as pressing after a coordinator had less than was wanted. One
-/// that does not press has room for two coordinators, so nothing is held back.
-const PRESSING: Duration = Duration::from_millis(2_000);
-/// How long a node that asks often has to be silent, at the least: twice the life of a grant.
-/// A node that turns to another coordinator waits as long for the first to have noticed.
-const TURNING_TIME: Duration = Duration::from_millis(600);
-/// Pauses between its questions that a silence has to be as long as. One in seven of callers who
-/// come at random is: nothing is held back for those whose node is reached.
-const PAUSES: f64 = 2.0;
-/// Questions from which it is known how often a node asks.
-const LEAST_QUESTIONS: u64 = 2;
-/// How long a share is held back: until the fleet's list no longer holds a node that is gone.
-const HOLD: Duration = ROW_EXPIRY;
-/// Operations a second that a node may have that had none before.
-const FIRST_PART: f64 = 1.0;
-/// Of what a node spent while its tenant pressed, what it counts as its share: spending comes in
-/// bursts, and what all nodes measure at their own moments adds up to more than the rate.
-const PRESSED_PART: f64 = 0.9;
-/// By how much a node may exceed its share where the tenant does not press.
-const ROOM: f64 = 1.25;
-
-/// What one node was granted lately.
+/// Period over which a node's share and its request rate are measured.
+const MEASUREMENT_PERIOD: Duration = Duration::from_millis(2_000);
+/// How long a tenant counts as saturating its limit after a request was not granted in full.
+/// A tenant below its limit leaves room for two coordinators, so nothing is reserved.
+const SATURATION_PERIOD: Duration = Duration::from_millis(2_000);
+/// Shortest silence after which a node that asks often may be cut off: twice the lifetime of
+/// a grant. A node that switches to another coordinator waits as long, so that the first one
+/// has noticed its silence.
+const MIN_SILENCE: Duration = Duration::from_millis(600);
+/// Mean pauses between a node's requests that a silence has to last. With callers that arrive
+/// at random, one pause in seven is as long, so nothing is reserved for nodes that are reached.
+const SILENT_PAUSES: f64 = 2.0;
+/// Least number of requests from which a node's request rate is known.
+const MIN_REQUESTS: u64 = 2;
+/// How long a share is reserved: until the list of the fleet no longer holds a node that is
+/// gone.
+const RESERVATION_PERIOD: Duration = ROW_EXPIRY;
+/// Least share in operations per second, for a node that had none before.
+const MIN_SHARE: f64 = 1.0;
+/// Fraction of a node's spending that it takes as its share if its tenant saturates the limit.
+/// Spending comes in bursts, and the rates that all nodes measure, each at its own time, add up
+/// to more than the tenant's rate.
+const SATURATED_FRACTION: f64 = 0.9;
+/// Factor by which a node may exceed its share if its tenant does not saturate the limit.
+const UNSATURATED_FACTOR: f64 = 1.25;
+
+/// Recent requests of one node and the operations granted to it.
 #[derive(Clone, Debug)]
 struct NodeShare {
     granted: ExpiringCount,
-    questions: ExpiringCount,
-    /// When it asked last, and how often and what it was granted by then, a second.
-    asked_at: Instant,
-    questions_a_second: f64,
+    requests: ExpiringCount,
+    /// When the node sent its last request.
+    requested_at: Instant,
+    /// Requests per second; 0 if not known.
+    request_rate: f64,
+    /// Operations granted per second.
     rate: f64,
-    /// The share that it had of the first coordinator, if it turned from that one.
+    /// Share that the node had from the first coordinator, if it switched from that one.
     inherited: Option<f64>,
 }
 
@@ -66,9 +72,9 @@
     fn new(now: Instant) -> Self {
         Self {
             granted: ExpiringCount::default(),
-            questions: ExpiringCount::default(),
-            asked_at: now,
-            questions_a_second: 0.0,
+            requests: ExpiringCount::default(),
+            requested_at: now,
+            request_rate: 0.0,
             rate: 0.0,
             inherited: None,
         }
@@ -76,61 +82,61 @@
 
     fn record_request(&mut self, inherited: Option<f64>, now: Instant) {
         self.inherited = inherited;
-        self.questions.add(now + MEASURED, 1);
-        self.asked_at = now;
-        let questions = self.questions.total(now);
-        let is_known = questions >= LEAST_QUESTIONS;
-        let seconds = MEASURED.as_secs_f64();
-        self.questions_a_second = if is_known {
-            questions as f64 / seconds
+        self.requests.add(now + MEASUREMENT_PERIOD, 1);
+        self.requested_at = now;
+        let requests = self.requests.total(now);
+        let is_known = requests >= MIN_REQUESTS;
+        let seconds = MEASUREMENT_PERIOD.as_secs_f64();
+        self.request_rate = if is_known {
+            requests as f64 / seconds
         } else {
             0.0
         };
     }
 
     fn record_grant(&mut self, granted: u64, now: Instant) {
-        self.granted.add(now + MEASURED, granted);
-        self.rate = self.granted.total(now) as f64 / MEASURED.as_secs_f64();
+        self.granted.add(now + MEASUREMENT_PERIOD, granted);
+        self.rate = self.granted.total(now) as f64 / MEASUREMENT_PERIOD.as_secs_f64();
     }
 
-    /// Whether it is silent for longer than pauses of its callers explain.
+    /// Whether the node is silent for longer than pauses of its callers explain.
     fn is_silent(&self, now: Instant) -> bool {
-        if self.questions_a_second <= 0.0 {
+        if self.request_rate <= 0.0 {
             return false;
         }
-        let pauses = Duration::from_secs_f64(PAUSES / self.questions_a_second);
-        now >= self.asked_at + pauses.max(TURNING_TIME)
+        let pauses = Duration::from_secs_f64(SILENT_PAUSES / self.request_rate);
+        now >= self.requested_at + pauses.max(MIN_SILENCE)
     }
 }
 
-/// Parts of the nodes that ask a coordinator.
+/// Shares of the nodes that ask a coordinator.
 #[derive(Clone, Debug)]
 pub struct RequesterShares<A> {
     shares: HashMap<A, NodeShare>,
-    /// When less was granted than was wanted.
-    pressed_at: Option<Instant>,
+    /// When a request was last not granted in full.
+    saturated_at: Option<Instant>,
 }
 
 impl<A> Default for RequesterShares<A> {
     fn default() -> Self {
         Self {
             shares: HashMap::new(),
-            pressed_at: None,
+            saturated_at: None,
         }
     }
 }
 
 impl<A: Clone + Eq + Hash> RequesterShares<A> {
-    /// A node asks; `inherited` is the share that it had of the first coordinator, if it turned
-    /// from that one.
+    /// Records a request of a node; `inherited` is the share that the node had from the first
+    /// coordinator, if it switched from that one.
     pub fn record_request(&mut self, requester: A, inherited: Option<f64>, now: Instant) {
         self.share(requester, now).record_request(inherited, now);
     }
 
-    /// A node that asked for so many operations was granted so many.
+    /// Records that a node was granted `granted` of the `wanted` operations.
     pub fn record_grant(&mut self, requester: A, wanted: u64, granted: u64, now: Instant) {
         if granted < wanted {
-            self.pressed_at = Some(now);
+            self.saturated_at = Some(now);
         }
         self.share(requester, now).record_grant(granted, now);
     }
@@ -141,19 +147,22 @@
             .or_insert_with(|| NodeShare::new(now))
     }
 
-    /// Operations a second that the nodes which turned to this coordinator had of the first:
-    /// it grants these to any of them. `None` if none did.
+    /// Operations per second that nodes which switched to this coordinator had from the first
+    /// one; this coordinator grants them to any of these nodes. `None` if no node switched.
     pub fn inherited_rate(&self) -> Option<f64> {
         let inherited = self.shares.values().filter_map(|share| share.inherited);
         inherited.reduce(|sum, share| sum + share)
     }
 
-    /// Operations a second that are to be held back for nodes which may ask another
-    /// coordinator. `may_ask_another` tells whether one that is silent does: it is not
-    /// reached, and its process is not known to have ended.
+    /// Operations per second to reserve for nodes that may ask another coordinator.
+    /// `may_ask_another` says whether a silent node may: it is not reached, and its process is
+    /// not known to have ended.
     pub fn reserved_rate(&mut self, now: Instant, may_ask_another: impl Fn(&A) -> bool) -> f64 {
-        self.shares.retain(|_, share| now < share.asked_at + HOLD);
-        let is_saturated = self.pressed_at.is_some_and(|at| now < at + PRESSING);
+        self.shares
+            .retain(|_, share| now < share.requested_at + RESERVATION_PERIOD);
+        let is_saturated = self
+            .saturated_at
+            .is_some_and(|at| now < at + SATURATION_PERIOD);
         if !is_saturated {
             return 0.0;
         }
@@ -163,18 +172,18 @@
     }
 }
 
-/// What a coordinator does not grant, since another one may.
+/// Rate that a coordinator does not grant, since another coordinator may.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReservedRate {
-    /// Operations a second that nodes had which are cut off.
+    /// Operations per second that nodes had which are cut off.
     pub cut_off: f64,
-    /// Operations a second that the nodes which turned to this coordinator had of the first;
-    /// `None` if this is the first.
+    /// Operations per second that nodes which switched to this coordinator had from the first
+    /// one; `None` if no node switched.
     pub inherited: Option<f64>,
 }
 
 impl ReservedRate {
-    /// Of a limit, operations a second that are not granted.
+    /// Operations per second of `limit` that are not granted.
     pub fn of(&self, limit: RateLimit) -> f64 {
         let rate = limit.rate_per_second;
         let others = self
@@ -184,32 +193,33 @@
     }
 }
 
-/// What a node had of the first coordinator, for the one to which it turns.
+/// Share that a node had from the first coordinator, for the one that it switches to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InheritedShare {
-    /// Operations a second.
+    /// Operations per second.
     pub rate: f64,
     begins_at: Instant,
 }
 
 impl InheritedShare {
-    /// The share of a node that spent `rate` operations a second until now. Where the tenant
-    /// is_saturated, the first coordinator may still grant it to others for a while.
+    /// The share of a node that spent `rate` operations per second until now. If the tenant
+    /// saturates its limit, the share begins later, since the first coordinator may still
+    /// grant it to other nodes for a while.
     pub fn new(rate: f64, is_saturated: bool, now: Instant) -> Self {
-        let rate = rate.max(FIRST_PART);
+        let rate = rate.max(MIN_SHARE);
         if is_saturated {
             return Self {
-                rate: rate * PRESSED_PART,
-                begins_at: now + TURNING_TIME,
+                rate: rate * SATURATED_FRACTION,
+                begins_at: now + MIN_SILENCE,
             };
         }
         Self {
-            rate: rate * ROOM,
+            rate: rate * UNSATURATED_FACTOR,
             begins_at: now,
         }
     }
 
-    /// When the share begins, unless it has.
+    /// When the share begins; `None` if it has begun.
     pub fn begins_at(&self, now: Instant) -> Option<Instant> {
         (now < self.begins_at).then_some(self.begins_at)
     }
--- a/crates/linkhold-core/src/tenancy/tenant.rs
+++ b/crates/linkhold-core/src/tenancy/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants and the connections that belong to them.
+//! Tenants and the connections that carry their statements.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -13,41 +13,41 @@
 /// Name of a tenant.
 pub type TenantName = Arc<str>;
 
-/// Most bytes of a secret that is taken in.
+/// Longest secret that is accepted, in bytes.
 pub const MAX_SECRET_BYTES: usize = 1_024;
 
-/// How much a tenant may ask, over all nodes.
+/// Rate limit of a tenant, over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Operations a second in the long run.
+    /// Operations per second in the long run.
     pub rate_per_second: f64,
-    /// Operations beyond that, at a time.
+    /// Operations allowed at once beyond that rate.
     pub burst: f64,
 }
 
-/// One tenant as the configuration names it.
+/// A tenant of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name, unique within a configuration.
     pub name: TenantName,
-    /// The credentials by which its callers are known.
+    /// Credentials that identify its callers.
     pub credentials: Vec<Credential>,
-    /// How much it may ask; `None` is without limit.
+    /// Rate limit; `None` if unlimited.
     pub limit: Option<RateLimit>,
-    /// Regions in which its requests may be run.
+    /// Regions in which its requests may run.
     pub regions: AllowedRegions,
 }
 
-/// What is wrong with the tenants of a configuration. Secrets are not named.
+/// A fault in the tenants of a configuration. Secrets are not named.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TenancyFinding {
-    /// Two tenants have the same credential: neither is known by it.
+    /// Two tenants have the same credential, which then identifies neither.
     #[error("tenants {0} and {1} share a credential")]
     SharedCredential(TenantName, TenantName),
-    /// No caller can be known as this tenant.
+    /// The tenant has no credential, so no caller can be identified as it.
     #[error("tenant {0} has no usable credential")]
     NoCredential(TenantName),
-    /// A tenant is listed twice; the first entry counts.
+    /// A tenant is listed twice; the first entry is used.
     #[error("tenant {0} is listed twice")]
     ListedTwice(TenantName),
 }
@@ -56,12 +56,12 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenancy {
     tenants: HashMap<TenantName, Tenant>,
-    /// `None` where a credential is of two tenants.
+    /// `None` for a credential that two tenants share.
     by_credential: HashMap<Credential, Option<TenantName>>,
 }
 
 impl Tenancy {
-    /// Takes tenants in; what is wrong with them is told, and left out.
+    /// Builds the tenants from a list. Faulty entries are left out and reported.
     pub fn new(listed: impl IntoIterator<Item = Tenant>) -> (Self, Vec<TenancyFinding>) {
         let mut tenancy = Self::default();
         let mut findings = Vec::new();
@@ -112,31 +112,31 @@
         self.by_credential.get(credential)?.as_ref()
     }
 
-    /// How much a tenant may ask; `None` is without limit.
+    /// Rate limit of a tenant; `None` if unlimited or unknown.
     pub fn limit(&self, tenant: &str) -> Option<RateLimit> {
         self.tenants.get(tenant)?.limit
     }
 
-    /// Regions in which a tenant's requests may be run.
+    /// Regions in which a tenant's requests may run.
     pub fn regions(&self, tenant: &str) -> AllowedRegions {
         let tenant = self.tenants.get(tenant);
         tenant.map(|it| it.regions.clone()).unwrap_or_default()
     }
 
-    /// All tenants, in no order.
+    /// All tenants, in no particular order.
     pub fn tenants(&self) -> impl Iterator<Item = &Tenant> {
         self.tenants.values()
     }
 }
 
-/// Whose statements a connection to an instance carries, from its start to its
-/// end.
+/// The tenant whose statements a connection to an instance carries for the whole of
+/// its lifetime.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionHolder {
-    /// No tenant's: statements of the node's own, of callers that need not be
-    /// known, and of all callers where the configuration names no tenants.
+    /// No tenant: statements of the node itself, of anonymous callers of public routes,
+    /// and of all callers if the configuration lists no tenants.
     NoTenant,
-    /// One tenant's alone.
+    /// A single tenant.
     Tenant(TenantName),
 }
 
--- a/crates/linkhold-core/tests/tenancy.rs
+++ b/crates/linkhold-core/tests/tenancy.rs
@@ -1,4 +1,5 @@
-//! Tenants, credentials and who may use a route.
+//! Tenants, credentials and the routes that a caller may use. Guards against a caller that
+//! is admitted without a valid credential or as another tenant.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -82,9 +83,9 @@
 #[test]
 fn callers_are_not_told_apart_where_there_are_no_tenants() {
     let configuration = configuration(None);
-    let nobody = Ok(ConnectionHolder::NoTenant);
-    assert_eq!(holder_of(&configuration, "own", Some("a")), nobody);
-    assert_eq!(holder_of(&configuration, "own", None), nobody);
+    let anonymous = Ok(ConnectionHolder::NoTenant);
+    assert_eq!(holder_of(&configuration, "own", Some("a")), anonymous);
+    assert_eq!(holder_of(&configuration, "own", None), anonymous);
 }
 
 #[test]
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -1,5 +1,6 @@
-//! Budgets of tenants: no window lets more through than it may while coordinators
-//! follow each other; a tenant below its limit is served.
+//! Budgets of tenants. Guards against a window that lets more operations through than its
+//! limit while one coordinator succeeds another without knowing what that one granted, and
+//! against refusals for a tenant below its limit.
 
 use std::time::{Duration, Instant};
 
@@ -19,23 +20,23 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes, in milliseconds.
+    /// Time passes (milliseconds).
     Pass(u64),
-    /// The coordinator is asked; what it grants is spent after a while.
+    /// The coordinator is asked; its grant is spent `spent_after` milliseconds later.
     Ask { wanted: u64, spent_after: u64 },
-    /// A node that stands in for it is asked as well.
+    /// A stand-in for the coordinator is asked as well.
     AskStandIn { wanted: u64, spent_after: u64 },
-    /// Another coordinator takes over, which knows nothing.
+    /// Another coordinator takes over, without any state.
     Succeed,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let lapse = GRANT_LIFETIME.as_millis() as u64;
+    let lifetime = GRANT_LIFETIME.as_millis() as u64;
     let step = prop_oneof![
         8 => (1_u64..400).prop_map(Step::Pass),
         1 => (1_000_u64..9_000).prop_map(Step::Pass),
-        12 => (1_u64..400, 0..lapse).prop_map(|(wanted, spent_after)| Step::Ask { wanted, spent_after }),
-        4 => (1_u64..40, 0..lapse).prop_map(|(wanted, spent_after)| Step::AskStandIn { wanted, spent_after }),
+        12 => (1_u64..400, 0..lifetime).prop_map(|(wanted, spent_after)| Step::Ask { wanted, spent_after }),
+        4 => (1_u64..40, 0..lifetime).prop_map(|(wanted, spent_after)| Step::AskStandIn { wanted, spent_after }),
         1 => Just(Step::Succeed),
     ];
     prop::collection::vec(step, 1..400)
@@ -61,7 +62,7 @@
     stand_in_policy: GrantPolicy,
     coordinator: TokenBucket,
     stand_in: TokenBucket,
-    /// When coordinators took over lately.
+    /// When coordinators took over within the last window and grant lifetime.
     successions: Vec<Instant>,
     spent: Vec<(Instant, u64)>,
 }
@@ -112,7 +113,7 @@
         }
     }
 
-    /// No more than two coordinators begin in a window and a lapse.
+    /// At most two coordinators begin within a window and a grant lifetime.
     fn succeed(&mut self) {
         let now = self.now;
         self.successions
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The most that any window let through.
+    /// Most operations in any window.
     fn fullest_window(&self) -> u64 {
         let in_window = |start: Instant| -> u64 {
             let spent = self.spent.iter();
@@ -177,7 +178,7 @@
 
 #[test]
 fn two_coordinators_at_a_time_exceed_the_limit() {
-    // What the module says it cannot prevent, so that the model would show it.
+    // The token buckets alone do not prevent this; shows that the model detects it.
     let mut model = Model::new(40.0, 40.0);
     let mut second = TokenBucket::new(model.now, &model.policy);
     for _ in 0..1_000 {
@@ -267,12 +268,12 @@
     for _ in 0..10 {
         assert_eq!(held.spend(start), SpendDecision::Granted);
     }
-    let lapsed = start + GRANT_LIFETIME;
-    assert_eq!(held.spend(lapsed), SpendDecision::NeedsGrant);
-    // Ten in a second and a half are two in the life of a grant.
-    assert_eq!(held.operations_to_request(lapsed, 1), 3);
-    held.record_grant(lapsed, grant(0));
-    let soon = lapsed + Duration::from_millis(150);
+    let expired_at = start + GRANT_LIFETIME;
+    assert_eq!(held.spend(expired_at), SpendDecision::NeedsGrant);
+    // Ten operations in 1.5 s are two within the lifetime of a grant.
+    assert_eq!(held.operations_to_request(expired_at, 1), 3);
+    held.record_grant(expired_at, grant(0));
+    let soon = expired_at + Duration::from_millis(150);
     let left = Duration::from_millis(50);
     assert_eq!(held.spend(soon), SpendDecision::Refused(left));
     assert_eq!(held.spend(soon + left), SpendDecision::NeedsGrant);
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -1,5 +1,5 @@
-//! A partition between two coordinators of one tenant, in virtual time: together they let
-//! no window have more than it may, however the nodes are split.
+//! A partition between two coordinators of one tenant, in virtual time. Guards against both
+//! granting the whole rate to their sides of the fleet, so that a window exceeds its limit.
 
 use std::time::{Duration, Instant};
 
@@ -16,15 +16,15 @@
     slack: 20.0,
 };
 const STEP: Duration = Duration::from_millis(20);
-/// When the split begins, and how long the model runs, in steps.
+/// Step at which the partition begins, and number of steps that the model runs.
 const SPLIT_AT: usize = 400;
 const STEPS: usize = 1_000;
 
-/// Which mechanisms are on.
+/// Mechanisms that are enabled.
 #[derive(Clone, Copy)]
 struct Mechanisms {
-    inherits: bool,
-    holds_back: bool,
+    inherits_shares: bool,
+    reserves_shares: bool,
 }
 
 struct Coordinator {
@@ -36,9 +36,9 @@
     budget: NodeBudget,
     inherited: Option<InheritedShare>,
     is_cut_off: bool,
-    /// Operations a second that its callers ask for.
+    /// Operations per second that its callers request.
     demand: f64,
-    /// What of them is not yet asked for.
+    /// Operations that its callers have not requested yet.
     pending: f64,
 }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The fullest window.
+    /// Most operations in any window.
     fn most(&self) -> usize {
         let mut most = 0;
         let mut first = 0;
@@ -143,10 +143,10 @@
     is_split: bool,
     now: Instant,
 ) -> Grant {
-    let turns = is_split && node.is_cut_off;
+    let has_switched = is_split && node.is_cut_off;
     let wanted = node.budget.operations_to_request(now, 1);
     let mut inherited = None;
-    if turns && mechanisms.inherits {
+    if has_switched && mechanisms.inherits_shares {
         let rate = node.budget.recent_rate(now);
         let is_saturated = node.budget.is_saturated(now);
         let share = node
@@ -160,12 +160,12 @@
         }
         inherited = Some(share.rate);
     }
-    let coordinator = &mut coordinators[usize::from(turns)];
-    let cut_off = match mechanisms.holds_back {
+    let coordinator = &mut coordinators[usize::from(has_switched)];
+    let cut_off = match mechanisms.reserves_shares {
         true => coordinator.shares.reserved_rate(now, |_| true),
         false => 0.0,
     };
-    // Of a node that asks for the first time, its own share counts as well.
+    // The share of a node that asks for the first time counts as well.
     coordinator.shares.record_request(index, inherited, now);
     let reserved_rate = ReservedRate {
         cut_off,
@@ -195,14 +195,14 @@
 }
 
 const ALL: Mechanisms = Mechanisms {
-    inherits: true,
-    holds_back: true,
+    inherits_shares: true,
+    reserves_shares: true,
 };
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(40))]
 
-    /// Any split of nodes whose callers ask for up to three times the rate.
+    /// Any split of nodes whose callers request up to three times the rate.
     #[test]
     fn two_coordinators_let_no_window_have_more_than_it_may(
         rate in 200.0_f64..600.0,
@@ -226,19 +226,19 @@
 
 #[test]
 fn with_either_mechanism_off_a_window_has_more_than_it_may() {
-    let [inherits_alone, holds_back_alone] = [true, false].map(|inherits| Mechanisms {
-        inherits,
-        holds_back: !inherits,
+    let [only_inherits, only_reserves] = [true, false].map(|inherits_shares| Mechanisms {
+        inherits_shares,
+        reserves_shares: !inherits_shares,
     });
-    for mechanisms in [inherits_alone, holds_back_alone] {
+    for mechanisms in [only_inherits, only_reserves] {
         let most = most_in_a_window(500.0, &even_split(), mechanisms);
         assert!(most as f64 > allowed(500.0), "{most}");
     }
     assert!(most_in_a_window(500.0, &even_split(), ALL) as f64 <= allowed(500.0));
 }
 
-/// What each side may grant when it cannot prove that it is alone: the rate goes unused by
-/// no more than a tenth while both sides press.
+/// Each side grants without knowing whether the other coordinator still runs. While both
+/// sides saturate the limit, no more than a tenth of the rate goes unused.
 #[test]
 fn the_rate_is_used_on_both_sides() {
     let start = Instant::now();
