--- a/crates/linkhold-core/src/admission.rs
+++ b/crates/linkhold-core/src/admission.rs
@@ -1,12 +1,12 @@
-//! Admission to an instance: a fixed number of slots, a reserve for writes and
-//! bounded queues.
+//! Admission control of an instance: a fixed number of slots, a reserve for writes
+//! and bounded queues.
 //!
 //! # Invariants
 //!
 //! * At most `capacity` slots are in use.
 //! * Reads never use more than `capacity - write_reserve` slots, so a burst of
 //!   reads delays a write by no more than the writes ahead of it.
-//! * Each queue is bounded; a request beyond the bound is refused at once.
+//! * Each queue is bounded; a request beyond the bound is refused immediately.
 
 use std::collections::VecDeque;
 
@@ -16,23 +16,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Limits of one instance, as the table states them for this node.
+/// Limits of one instance for this node, from the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotLimits {
-    /// Requests that may run at once.
+    /// Requests that may run concurrently.
     pub capacity: usize,
     /// Slots that reads may not use.
     pub write_reserve: usize,
-    /// Requests of each class that may wait.
+    /// Longest queue of each class.
     pub queue_bound: usize,
 }
 
 /// Answer to a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// A slot is taken.
+    /// The request holds a slot.
     Granted,
-    /// The request waits; its ticket is returned by a later release.
+    /// The request waits; a later release or change of limits returns its ticket.
     Queued,
     /// The queue is full.
     Refused,
@@ -49,7 +49,7 @@
 }
 
 impl SlotQueue {
-    /// An idle instance with these limits.
+    /// Creates an idle queue with these limits.
     pub fn new(limits: SlotLimits) -> Self {
         Self {
             limits,
@@ -60,10 +60,10 @@
         }
     }
 
-    /// Asks for a slot; waits in the class's queue if none is free.
+    /// Requests a slot; the request is queued in its class if none is free.
     pub fn request(&mut self, class: Access, ticket: Ticket) -> Admission {
-        let nobody_ahead = self.queue(class).is_empty();
-        if nobody_ahead && self.may_take(class) {
+        let queue_is_empty = self.queue(class).is_empty();
+        if queue_is_empty && self.may_take(class) {
             self.take(class);
             return Admission::Granted;
         }
@@ -74,7 +74,8 @@
         Admission::Queued
     }
 
-    /// Takes a slot only if one is free now.
+    /// Takes a slot if one is free now and no request of the class waits; `false` if
+    /// not.
     pub fn try_take(&mut self, class: Access) -> bool {
         let free = self.queue(class).is_empty() && self.may_take(class);
         if free {
@@ -83,7 +84,7 @@
         free
     }
 
-    /// Gives a slot back; returns the tickets that now hold one.
+    /// Releases a slot; returns the tickets that now hold one.
     pub fn release(&mut self, class: Access) -> Vec<Ticket> {
         match class {
             Access::Read => self.reads_in_use -= 1,
@@ -101,7 +102,7 @@
     }
 
     /// Changes the limits; returns the tickets that now hold a slot. Slots in
-    /// use beyond a lowered capacity are not taken away, only not given again.
+    /// use beyond a lowered capacity stay in use and are not granted again.
     pub fn set_limits(&mut self, limits: SlotLimits) -> Vec<Ticket> {
         self.limits = limits;
         self.grant_waiting()
--- a/crates/linkhold-core/src/group_view.rs
+++ b/crates/linkhold-core/src/group_view.rs
@@ -1,19 +1,19 @@
-//! What a node knows about one replicated database, and what follows from it.
+//! A node's view of one replicated database, and the decisions taken from it.
 //!
 //! A node probes every instance of the database for its term, role and applied
 //! position. Each probe carries a [`ProbeTag`] drawn from a counter when the
 //! probe is *sent*. An answer whose tag is greater than the counter's value at
-//! some moment was therefore asked after that moment; this is the only notion
-//! of time the rules below need.
+//! some time therefore belongs to a probe sent after that time; the rules below
+//! need no other notion of time.
 //!
 //! # Invariants
 //!
 //! * A **majority fence** ([`GroupView::fence`]) is at least as high as the
-//!   position of every write acknowledged before the fence was asked for,
+//!   position of every write acknowledged before the fence was requested,
 //!   because the majority that answered intersects the majority that confirmed
 //!   the write.
 //! * A write is **confirmed** ([`GroupView::confirm`]) only when a majority,
-//!   asked after the commit returned, still follows the term the write ran in
+//!   probed after the commit returned, still follows the term the write ran in
 //!   and holds its position. A later primary is elected by a majority, which
 //!   intersects this one, so it holds the write.
 
@@ -47,7 +47,7 @@
     pub role: Role,
 }
 
-/// A status together with the tag of the probe that asked for it.
+/// A status and the tag of the probe that it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Tag drawn when the probe was sent.
@@ -59,13 +59,13 @@
 /// A primary that a majority of instances follows, as last seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfirmedPrimary {
-    /// Which instance.
+    /// Index of the instance.
     pub instance: InstanceIndex,
-    /// In which term.
+    /// Term in which it is primary.
     pub term: Term,
 }
 
-/// What the database group itself promises when a commit returns.
+/// Durability that the database group itself guarantees when a commit returns.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CommitPromise {
     /// The primary answers as soon as it has the entry: the node itself waits
@@ -77,7 +77,7 @@
     Majority,
 }
 
-/// Verdict on a commit that returned.
+/// Whether a returned commit is confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
     /// A majority follows the term and holds the position.
@@ -88,12 +88,12 @@
     Replaced,
 }
 
-/// A change worth reporting that an answer brought about.
+/// A change of the view to report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewChange {
-    /// The confirmed primary is another one than before, or there is none.
+    /// The confirmed primary has changed; `None` if there is none now.
     Primary(Option<ConfirmedPrimary>),
-    /// The highest term seen has risen.
+    /// The highest term seen has increased.
     Term(Term),
     /// An instance started or stopped answering.
     Reachable(InstanceIndex, bool),
@@ -104,11 +104,12 @@
 pub struct PendingCommit {
     /// Instance the commit ran on.
     pub instance: InstanceIndex,
-    /// Term that instance was confirmed in when the statement was sent.
+    /// Term in which that instance was the confirmed primary when the statement was
+    /// sent.
     pub term: Term,
-    /// Probe counter at the moment the commit returned.
+    /// Probe counter when the commit returned.
     pub returned_at: ProbeTag,
-    /// Upper bound of the commit's position, once the primary has reported it.
+    /// Upper bound of the commit's position, once its primary has reported one.
     pub target: Option<Position>,
 }
 
@@ -143,7 +144,7 @@
     }
 
     /// Records an answer. Answers older than the recorded one are ignored,
-    /// so that late arrivals never take the view back.
+    /// so that late answers never revert the view.
     pub fn record(
         &mut self,
         instance: InstanceIndex,
@@ -181,7 +182,7 @@
         self.reachable[instance]
     }
 
-    /// The primary a majority follows, if one is reachable.
+    /// The primary that a majority follows; `None` if it is not reachable.
     pub fn primary(&self) -> Option<ConfirmedPrimary> {
         self.primary
     }
@@ -196,11 +197,11 @@
         self.answers[instance].is_some_and(|answer| answer.status.position >= position)
     }
 
-    /// Majority fence from answers asked after `after`, or `None` until a
-    /// majority has answered.
+    /// Majority fence from the answers to probes sent after `after`, or `None` until
+    /// a majority has answered.
     ///
-    /// Of all majorities that answered, the one with the lowest highest
-    /// position serves: each of them intersects every write's majority.
+    /// Uses the majority whose highest position is lowest, since each majority that
+    /// answered intersects every write's majority.
     pub fn fence(&self, after: ProbeTag) -> Option<Position> {
         let mut positions: Vec<Position> = self
             .answers_after(after)
@@ -210,18 +211,18 @@
         positions.get(self.majority() - 1).copied()
     }
 
-    /// Judges a commit that returned; fills in the commit's target position
-    /// the first time its primary reports one.
+    /// Checks whether a returned commit is confirmed. Sets the commit's target
+    /// position the first time its primary reports one.
     pub fn confirm(&self, commit: &mut PendingCommit, promise: CommitPromise) -> Confirmation {
-        let followers_of_newer = self
+        let newer_term_count = self
             .answers_after(commit.returned_at)
             .filter(|answer| answer.status.current_term > commit.term)
             .count();
-        if followers_of_newer >= self.majority() {
+        if newer_term_count >= self.majority() {
             return Confirmation::Replaced;
         }
         if commit.target.is_none() {
-            match self.target_of(commit) {
+            match self.reported_target(commit) {
                 Ok(target) => commit.target = target,
                 Err(verdict) => return verdict,
             }
@@ -241,7 +242,9 @@
         }
     }
 
-    fn target_of(&self, commit: &PendingCommit) -> Result<Option<Position>, Confirmation> {
+    /// Position that the commit's primary reported after the commit returned; `None`
+    /// if it has not answered since, `Err` if it is no longer primary of the term.
+    fn reported_target(&self, commit: &PendingCommit) -> Result<Option<Position>, Confirmation> {
         let Some(answer) = self.answers[commit.instance] else {
             return Ok(None);
         };
@@ -281,7 +284,7 @@
         Some(ViewChange::Primary(primary))
     }
 
-    /// The reachable instance that reports itself primary in the highest term
+    /// The reachable instance that reports itself as primary in the highest term
     /// that a majority follows.
     fn find_primary(&self) -> Option<ConfirmedPrimary> {
         let candidates = self
--- a/crates/linkhold-core/tests/admission.rs
+++ b/crates/linkhold-core/tests/admission.rs
@@ -1,4 +1,6 @@
-//! Admission: limits and reserves hold over any order of events.
+//! Admission control. Guards against a burst of reads that takes the slots reserved for
+//! writes, and against requests that are lost or admitted beyond a limit in some order
+//! of events.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +29,7 @@
     assert_eq!(queue.request(Access::Write, Ticket(10)), Admission::Granted);
     assert_eq!(queue.request(Access::Write, Ticket(11)), Admission::Granted);
     assert_eq!(queue.request(Access::Write, Ticket(12)), Admission::Queued);
-    // The waiting write goes before the waiting reads.
+    // The waiting write is granted before the waiting reads.
     assert_eq!(queue.release(Access::Read), [Ticket(12)]);
 }
 
--- a/crates/linkhold-core/tests/guarantees.rs
+++ b/crates/linkhold-core/tests/guarantees.rs
@@ -1,10 +1,11 @@
 //! Guarantees of the group view, over random interleavings of commits,
-//! replication, elections and probes.
+//! replication, elections and probes. Guards against acknowledged writes that are
+//! lost by a failover and against reads that miss them.
 //!
 //! The model follows Raft: logs, terms, elections by a majority for the most
-//! up-to-date log. A node sees it only through probes whose answers may be
-//! taken early and delivered late. Each property is also run with its
-//! mechanism switched off, and must then fail.
+//! up-to-date log. A node observes it only through probes, whose answers may be
+//! produced early and delivered late. Each property also runs with its mechanism
+//! disabled, and must then fail.
 
 use linkhold_core::group_view::{
     CommitPromise, Confirmation, GroupView, InstanceStatus, PendingCommit, ProbeTag, Role,
@@ -21,17 +22,17 @@
 /// Reads kept open at once; the oldest is dropped first.
 const OPEN_READS: usize = 6;
 
-/// Which mechanism is switched off.
+/// The mechanism that is disabled.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Mutation {
     None,
     /// Commits are acknowledged as soon as they return.
     AcknowledgeAtOnce,
-    /// A single answer makes a fence.
+    /// A single answer is enough for a fence.
     FenceOfOne,
-    /// Answers asked before the read arrived make a fence.
+    /// Answers to probes sent before the read arrived count for a fence.
     FenceOfOldAnswers,
-    /// The confirmation asks for the term, not for the position.
+    /// The confirmation checks the term but not the position.
     TermOnly,
 }
 
@@ -46,7 +47,7 @@
         candidate: usize,
         voter: usize,
     },
-    /// A probe sent, served and delivered with nothing in between.
+    /// A probe that is sent, served and delivered in one step.
     Probe {
         to: usize,
     },
@@ -103,7 +104,7 @@
     }
 }
 
-/// A probe under way.
+/// A probe in flight.
 struct Probe {
     to: usize,
     tag: ProbeTag,
@@ -115,7 +116,7 @@
     must_see: Vec<u64>,
 }
 
-/// What one node knows and waits for.
+/// A node's view, its probes in flight, and the commits and reads that wait.
 struct Node {
     view: GroupView,
     counter: u64,
@@ -180,14 +181,14 @@
     }
 }
 
-/// A group, and two nodes between which callers roam.
+/// A database group, and two nodes that callers switch between.
 struct Model {
     mutation: Mutation,
     instances: Vec<Instance>,
     nodes: Vec<Node>,
     next_value: u64,
     acknowledged: Vec<u64>,
-    /// Checks of a read that had a write to see.
+    /// Number of checks of reads that had to see at least one write.
     served: usize,
 }
 
@@ -258,7 +259,8 @@
         node.pending.push((commit, value));
     }
 
-    /// Some primary with a term at least as new sends its log.
+    /// The primary with the newest term, at least as new as the receiver's, sends its
+    /// log.
     fn replicate(&mut self, to: usize, most: usize) {
         let from = (0..INSTANCES)
             .filter(|from| *from != to && self.instances[*from].is_primary)
@@ -322,7 +324,7 @@
         }
     }
 
-    /// Every instance that could still be elected by some majority holds all
+    /// Checks that every instance that a majority could elect holds all
     /// acknowledged writes.
     fn check_acknowledged(&self) -> Result<(), String> {
         for (candidate, instance) in self.instances.iter().enumerate() {
@@ -368,7 +370,7 @@
     instance.log.iter().any(|(_, stored)| *stored == value)
 }
 
-/// What interleavings without a violation came to.
+/// Totals over the interleavings of a run without a violation.
 #[derive(Debug, Default)]
 struct Explored {
     acknowledged: usize,
@@ -399,14 +401,14 @@
     match result {
         Ok(()) => Ok(explored.into_inner()),
         Err(TestError::Fail(reason, _)) => Err(reason.message().to_owned()),
-        Err(TestError::Abort(reason)) => panic!("the run was given up: {reason}"),
+        Err(TestError::Abort(reason)) => panic!("the run was aborted: {reason}"),
     }
 }
 
 #[test]
 fn acknowledged_writes_are_kept_and_read() {
     let explored = explore(Mutation::None).expect("no violation");
-    // The run must have had something to check.
+    // Ensures that the run checked a sufficient number of writes and reads.
     assert!(explored.acknowledged > 1_000, "{explored:?}");
     assert!(explored.served > 1_000, "{explored:?}");
 }
