--- a/crates/linkhold-core/src/group_view.rs
+++ b/crates/linkhold-core/src/group_view.rs
@@ -182,7 +182,7 @@
         self.reachable[instance]
     }
 
-    /// The primary that a majority follows; `None` if it is not reachable.
+    /// The primary that a majority follows; `None` if none is reachable.
     pub fn primary(&self) -> Option<ConfirmedPrimary> {
         self.primary
     }
--- a/crates/linkhold-core/src/membership/exchange.rs
+++ b/crates/linkhold-core/src/membership/exchange.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: members compare digests of their views and tell each other
-//! what differs.
+//! Anti-entropy: members compare digests of their views and send each other
+//! records if the digests differ.
 
 use std::net::SocketAddr;
 
@@ -11,24 +11,27 @@
 use super::protocol::{Membership, OutgoingMessage, Output};
 
 impl Membership {
-    /// Compares views with a random member, and now and then with a seed or a
-    /// member believed dead, so that a split fleet finds together again.
+    /// Compares views with a random member, and sometimes with a seed or a member
+    /// considered dead, so that the sides of a partitioned fleet find each other again.
     pub(super) fn start_exchange(&mut self, random: &mut impl Rng, output: &mut Output) {
-        const OUTSIDE_SHARE: f64 = 0.25;
+        const UNREACHABLE_FRACTION: f64 = 0.25;
         let reachable = self.reachable_except(self.own.node);
-        let mut outside: Vec<SocketAddr> = self
+        let mut unreachable_or_seeds: Vec<SocketAddr> = self
             .members
             .values()
             .filter(|member| !member.is_reachable())
             .map(|member| member.record.address)
             .collect();
-        outside.extend(&self.seeds);
-        let go_outside = reachable.is_empty() || random.random_bool(OUTSIDE_SHARE);
-        let inside = reachable.choose(random).map(|member| member.address);
-        let target = if go_outside {
-            outside.choose(random).copied().or(inside)
+        unreachable_or_seeds.extend(&self.seeds);
+        let tries_unreachable = reachable.is_empty() || random.random_bool(UNREACHABLE_FRACTION);
+        let reachable_address = reachable.choose(random).map(|member| member.address);
+        let target = if tries_unreachable {
+            unreachable_or_seeds
+                .choose(random)
+                .copied()
+                .or(reachable_address)
         } else {
-            inside
+            reachable_address
         };
         if let Some(address) = target {
             let payload = self.exchange_payload(false);
@@ -48,7 +51,7 @@
         u32::try_from(self.members.len() + 1).unwrap_or(u32::MAX)
     }
 
-    /// Digest of all records, the same for any order.
+    /// Digest of all records, independent of their order.
     pub(super) fn view_digest(&self) -> u64 {
         let others = self.members.values().map(|member| member.record);
         others
@@ -57,18 +60,18 @@
             .fold(0, u64::wrapping_add)
     }
 
-    /// Sends part of what is known, or all of it to a node that knows little,
-    /// and lets the other side do the same once.
+    /// Sends some records, or all records to a node that knows few members, and lets
+    /// the peer do the same once.
     pub(super) fn answer_exchange(
         &mut self,
         to: SocketAddr,
-        known_there: u32,
+        known_by_peer: u32,
         is_answer: bool,
         random: &mut impl Rng,
         output: &mut Output,
     ) {
-        /// Messages sent to a node that knows most members already.
-        const MOST_MESSAGES: usize = 8;
+        /// Most messages sent to a node that knows at least half of the members.
+        const MAX_MESSAGES: usize = 8;
         if !is_answer {
             let payload = self.exchange_payload(true);
             self.send(to, payload, output);
@@ -77,9 +80,9 @@
             self.members.values().map(|member| member.record).collect();
         records.shuffle(random);
         let per_message = self.settings.records_per_message;
-        let knows_little = known_there < self.known() / 2;
-        if !knows_little {
-            records.truncate(MOST_MESSAGES * per_message);
+        let knows_few = known_by_peer < self.known() / 2;
+        if !knows_few {
+            records.truncate(MAX_MESSAGES * per_message);
         }
         for chunk in records.chunks(per_message) {
             let message = self.message(Payload::Gossip, chunk.to_vec());
--- a/crates/linkhold-core/src/membership/member.rs
+++ b/crates/linkhold-core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! Members and records about them.
+//! Members and the records that nodes exchange about them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,38 +23,38 @@
     }
 }
 
-/// What is believed of a member, from least to most severe.
+/// State of a member, from least to most severe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
     /// In service.
     Alive,
-    /// About to stop in order; answers, takes no new duties.
+    /// Shutting down in an orderly way; answers but accepts no new duties.
     Leaving,
-    /// Has not answered; dead unless it refutes.
+    /// Has not answered; considered dead unless it refutes in time.
     Suspect,
-    /// Gone.
+    /// Considered to have stopped.
     Dead,
 }
 
-/// A record about a member that travels between nodes.
+/// A record about a member, as nodes exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Who.
+    /// The member.
     pub node: NodeId,
-    /// Where it receives messages.
+    /// Address at which it receives membership messages.
     pub address: SocketAddr,
-    /// Where it serves callers.
+    /// Address at which it serves callers.
     pub client_address: SocketAddr,
     /// Zone, as a hash of its name.
     pub zone: u32,
-    /// Chosen by the member itself; rises with each start and refutation.
+    /// Set by the member itself; increases with each start and refutation.
     pub incarnation: u64,
-    /// What is stated.
+    /// State of the member.
     pub state: MemberState,
 }
 
 impl MemberRecord {
-    /// Digest of what is stated, for comparing views.
+    /// Digest of node, incarnation and state, for comparing views.
     pub fn digest(&self) -> u64 {
         let mut bytes = [0; 17];
         bytes[..8].copy_from_slice(&self.node.0.to_be_bytes());
@@ -63,7 +63,7 @@
         xxh3_64(&bytes)
     }
 
-    /// Whether this record replaces another about the same member.
+    /// Whether this record overrides another about the same member.
     pub fn overrides(&self, other: &Self) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
@@ -74,18 +74,18 @@
 pub struct Member {
     /// The newest record.
     pub record: MemberRecord,
-    /// When the state was learnt, on the node's monotonic clock.
+    /// When the record was received, on the node's monotonic clock.
     pub since: Duration,
 }
 
 impl Member {
-    /// Whether it can be expected to answer.
+    /// Whether the member can be expected to answer.
     pub fn is_reachable(&self) -> bool {
         self.record.state != MemberState::Dead
     }
 
-    /// Whether duties may be given to it.
-    pub fn takes_duties(&self) -> bool {
+    /// Whether the member may be assigned duties.
+    pub fn accepts_duties(&self) -> bool {
         matches!(self.record.state, MemberState::Alive | MemberState::Suspect)
     }
 }
--- a/crates/linkhold-core/src/membership/message.rs
+++ b/crates/linkhold-core/src/membership/message.rs
@@ -2,28 +2,28 @@
 
 use super::member::{MemberRecord, NodeId};
 
-/// What a node tells in every message: the table version it has in force.
+/// The table version that a node has in force; part of every message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Announcement {
-    /// Version.
+    /// Version of the table.
     pub table_version: u64,
     /// Digest of that version's cells.
     pub table_digest: u64,
 }
 
-/// What a message asks or answers.
+/// Request or answer of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// Answer with [`Payload::Ack`] of the same number.
+    /// Requests a [`Payload::Ack`] with the same number.
     Ping {
         /// Number of the probe.
         number: u64,
     },
-    /// Ping `target` for the sender, and pass its answer on.
+    /// Requests a ping of `target` on the sender's behalf; its answer is relayed.
     PingRequest {
         /// Number of the sender's probe.
         number: u64,
-        /// Whom to ping.
+        /// Member to ping.
         target: NodeId,
     },
     /// Answer to a ping.
@@ -31,15 +31,15 @@
         /// Number of the probe.
         number: u64,
     },
-    /// Carries records only.
+    /// Carries records only; is not answered.
     Gossip,
-    /// Compares views; records follow only if they differ.
+    /// Compares views; records follow only if the digests differ.
     Exchange {
         /// Digest of the sender's view.
         digest: u64,
-        /// Members the sender knows, itself included.
+        /// Number of members that the sender knows, including itself.
         known: u32,
-        /// Whether this answers an exchange.
+        /// Whether this message answers an exchange.
         is_answer: bool,
     },
 }
@@ -47,11 +47,11 @@
 /// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The sender, as it states itself.
+    /// The sender's own record.
     pub from: MemberRecord,
-    /// What it asks or answers.
+    /// Request or answer.
     pub payload: Payload,
-    /// The sender's table.
+    /// Table version of the sender.
     pub announcement: Announcement,
     /// Statements about other members.
     pub records: Vec<MemberRecord>,
--- a/crates/linkhold-core/src/membership/mod.rs
+++ b/crates/linkhold-core/src/membership/mod.rs
@@ -3,21 +3,21 @@
 //! Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent
 //! Infection-style Process Group Membership Protocol", DSN 2002, with the
 //! suspicion mechanism (section 4.2), incarnation numbers and round-robin
-//! probing (section 4.3), and two additions: updates also travel in gossip
-//! messages of their own while there is news, and nodes exchange all they
-//! know with a random peer now and then (anti-entropy), which mends what
-//! gossip lost and joins halves of a fleet that was split.
+//! probing (section 4.3), and two additions: pending updates also travel in
+//! gossip messages of their own, and nodes periodically compare all records with
+//! a random peer (anti-entropy), which repairs what gossip lost and reunites a
+//! fleet that was partitioned.
 //!
 //! [`Membership`] is pure: [`Membership::on_message`] and
-//! [`Membership::on_tick`] take the time and return messages to send.
+//! [`Membership::on_tick`] take the current time and return messages to send.
 //!
 //! # Invariants
 //!
 //! * Of two records about a member the one with the higher incarnation
-//!   holds; with equal incarnations the more severe one. Only the member
-//!   itself raises its incarnation, so it can always refute.
-//! * A live member that hears that it is suspected or dead refutes with a
-//!   higher incarnation, so it is never dead for good.
+//!   overrides the other; with equal incarnations, the more severe state does.
+//!   Only the member itself raises its incarnation, so it can always refute.
+//! * A live member that receives a record of itself as suspect or dead refutes it
+//!   with a higher incarnation, so it never stays dead.
 
 mod exchange;
 mod member;
--- a/crates/linkhold-core/src/membership/probing.rs
+++ b/crates/linkhold-core/src/membership/probing.rs
@@ -1,5 +1,4 @@
-//! Probing of members, directly and through others (SWIM, sections 3.1 and
-//! 4.2).
+//! Direct and indirect probing of members (SWIM, sections 3.1 and 4.2).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,22 +10,22 @@
 use super::message::Payload;
 use super::protocol::{Membership, Output};
 
-/// A probe without an answer yet.
+/// The probe that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Probe {
     pub number: u64,
     pub target: NodeId,
     pub sent_at: Duration,
-    pub asked_others: bool,
+    pub is_indirect: bool,
 }
 
-/// A probe made for another member.
+/// A probe sent on behalf of another member.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Errand {
+pub(super) struct RelayedProbe {
     pub number: u64,
-    pub for_address: SocketAddr,
-    pub for_number: u64,
-    pub until: Duration,
+    pub origin: SocketAddr,
+    pub origin_number: u64,
+    pub expires_at: Duration,
 }
 
 impl Membership {
@@ -44,10 +43,10 @@
             number,
             target: target.node,
             sent_at: now,
-            asked_others: false,
+            is_indirect: false,
         });
         self.send(target.address, Payload::Ping { number }, output);
-        // A suspect learns at once that it has to refute.
+        // Sends a suspect its record, so that it can refute at once.
         if target.state == MemberState::Suspect
             && let Some(sent) = output.messages.last_mut()
         {
@@ -55,7 +54,8 @@
         }
     }
 
-    /// Round-robin over a shuffled list, shuffled anew after each round.
+    /// Next member to probe: round-robin over a list that is shuffled before each
+    /// round.
     pub(super) fn next_target(&mut self, random: &mut impl Rng) -> Option<MemberRecord> {
         loop {
             if self.probe_order.is_empty() {
@@ -78,19 +78,24 @@
         }
     }
 
-    /// Asks other members to probe a target that has not answered in time,
-    /// one of them in the target's own zone if there is one: a fault between
-    /// zones then does not look like the target's death.
-    pub(super) fn ask_others(&mut self, now: Duration, random: &mut impl Rng, output: &mut Output) {
+    /// Asks other members to probe a target that has not answered in time. One of
+    /// them is in the target's own zone if possible, so that a fault between zones
+    /// is not mistaken for the target's failure.
+    pub(super) fn probe_indirectly(
+        &mut self,
+        now: Duration,
+        random: &mut impl Rng,
+        output: &mut Output,
+    ) {
         let Some(probe) = self.probe else {
             return;
         };
-        let is_due = !probe.asked_others && now >= probe.sent_at + self.settings.direct_timeout;
+        let is_due = !probe.is_indirect && now >= probe.sent_at + self.settings.direct_timeout;
         if !is_due {
             return;
         }
         self.probe = Some(Probe {
-            asked_others: true,
+            is_indirect: true,
             ..probe
         });
         let zone = self
@@ -99,8 +104,8 @@
             .map(|member| member.record.zone);
         let mut helpers = self.reachable_except(probe.target);
         helpers.shuffle(random);
-        if let Some(neighbour) = helpers.iter().position(|helper| Some(helper.zone) == zone) {
-            helpers.swap(0, neighbour);
+        if let Some(same_zone) = helpers.iter().position(|helper| Some(helper.zone) == zone) {
+            helpers.swap(0, same_zone);
         }
         helpers.truncate(self.settings.indirect_probes);
         for helper in helpers {
@@ -120,7 +125,7 @@
             .collect()
     }
 
-    /// Suspects the target of a probe that nobody got an answer to.
+    /// Suspects the target of a probe that was not answered to any member.
     pub(super) fn finish_probe(&mut self, now: Duration, output: &mut Output) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -141,22 +146,22 @@
             return;
         }
         if let Some(index) = self
-            .errands
+            .relayed_probes
             .iter()
-            .position(|errand| errand.number == number)
+            .position(|relayed| relayed.number == number)
         {
-            let errand = self.errands.swap_remove(index);
+            let relayed = self.relayed_probes.swap_remove(index);
             let payload = Payload::Ack {
-                number: errand.for_number,
+                number: relayed.origin_number,
             };
-            self.send(errand.for_address, payload, output);
+            self.send(relayed.origin, payload, output);
         }
     }
 
-    pub(super) fn run_errand(
+    pub(super) fn relay_probe(
         &mut self,
-        for_address: SocketAddr,
-        for_number: u64,
+        origin: SocketAddr,
+        origin_number: u64,
         target: NodeId,
         now: Duration,
         output: &mut Output,
@@ -166,11 +171,11 @@
         };
         let address = member.record.address;
         let number = self.new_number();
-        self.errands.push(Errand {
+        self.relayed_probes.push(RelayedProbe {
             number,
-            for_address,
-            for_number,
-            until: now + self.settings.probe_period,
+            origin,
+            origin_number,
+            expires_at: now + self.settings.probe_period,
         });
         self.send(address, Payload::Ping { number }, output);
     }
--- a/crates/linkhold-core/src/membership/protocol.rs
+++ b/crates/linkhold-core/src/membership/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol's state machine.
+//! State machine of the membership protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,27 +9,27 @@
 
 use super::member::{Member, MemberRecord, MemberState, NodeId};
 use super::message::{Announcement, Message, Payload};
-use super::probing::{Errand, Probe};
+use super::probing::{Probe, RelayedProbe};
 use super::updates::Updates;
 
-/// Times and sizes of the protocol.
+/// Timing and size limits of the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipSettings {
-    /// Time from one probe to the next.
+    /// Interval between probes.
     pub probe_period: Duration,
-    /// Time after which a probe is tried through other members.
+    /// Time after which a probe is repeated through other members.
     pub direct_timeout: Duration,
-    /// Members asked to probe in the node's place.
+    /// Number of members asked to probe on the node's behalf.
     pub indirect_probes: usize,
-    /// Time a suspect has to refute.
+    /// Time within which a suspect has to refute.
     pub suspicion: Duration,
-    /// Time from one gossip message to the next, while there is news.
+    /// Interval between gossip messages while updates are pending.
     pub gossip_period: Duration,
-    /// Members a gossip message goes to.
+    /// Number of members that receive a gossip message.
     pub gossip_fanout: usize,
-    /// Time from one anti-entropy exchange to the next.
+    /// Mean interval between anti-entropy exchanges.
     pub exchange_period: Duration,
-    /// Time after which a dead member is forgotten.
+    /// Time after which a dead member is removed.
     pub tombstone: Duration,
     /// Statements in one message; bounds its size.
     pub records_per_message: usize,
@@ -51,36 +51,36 @@
     }
 }
 
-/// A message to be sent.
+/// A message to send.
 #[derive(Clone, Debug)]
 pub struct OutgoingMessage {
-    /// Where.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// What.
+    /// The message.
     pub message: Message,
 }
 
-/// A change of the view.
+/// A change of a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberChange {
-    /// Who.
+    /// The member.
     pub node: NodeId,
-    /// What it is now.
+    /// Its new state.
     pub state: MemberState,
     /// Its incarnation.
     pub incarnation: u64,
 }
 
-/// What came of an event.
+/// Results of an event.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     /// Messages to send.
     pub messages: Vec<OutgoingMessage>,
-    /// Changes of the view, in order.
+    /// Changes of members' states, in order.
     pub changes: Vec<MemberChange>,
 }
 
-/// Membership as one node sees it.
+/// One node's view of the membership, and its protocol state.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) settings: MembershipSettings,
@@ -89,7 +89,7 @@
     pub(super) members: BTreeMap<NodeId, Member>,
     pub(super) probe_order: Vec<NodeId>,
     pub(super) probe: Option<Probe>,
-    pub(super) errands: Vec<Errand>,
+    pub(super) relayed_probes: Vec<RelayedProbe>,
     updates: Updates,
     announcement: Announcement,
     announcements_left: u32,
@@ -100,9 +100,9 @@
 }
 
 impl Membership {
-    /// A node that knows its seeds only. The incarnation of `own` must be
-    /// higher than any the node has used before, such as the time of its
-    /// start.
+    /// Creates the state of a node that knows only its seeds. The incarnation of
+    /// `own` must be higher than any that the node has used before, such as its start
+    /// time.
     pub fn new(
         settings: MembershipSettings,
         own: MemberRecord,
@@ -119,7 +119,7 @@
             members: BTreeMap::new(),
             probe_order: Vec::new(),
             probe: None,
-            errands: Vec::new(),
+            relayed_probes: Vec::new(),
             updates: Updates::default(),
             announcement: Announcement::default(),
             announcements_left: 0,
@@ -135,32 +135,35 @@
         &self.own
     }
 
-    /// All other members, the dead included until they are forgotten.
+    /// All other members, including dead ones until they are removed.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// A member.
+    /// A member; `None` if unknown or this node.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.members.get(&node)
     }
 
-    /// Nodes that take duties, this one included unless it leaves.
+    /// Nodes that accept duties, including this node unless it is leaving.
     pub fn duty_nodes(&self) -> impl Iterator<Item = NodeId> {
         let own = (self.own.state == MemberState::Alive).then_some(self.own.node);
-        let others = self.members.values().filter(|member| member.takes_duties());
+        let others = self
+            .members
+            .values()
+            .filter(|member| member.accepts_duties());
         own.into_iter()
             .chain(others.map(|member| member.record.node))
     }
 
-    /// Sets what every message announces, and spreads it while it is news.
+    /// Sets the announcement in every message, and gossips until it has spread.
     pub fn announce(&mut self, announcement: Announcement) {
         self.announcement = announcement;
         self.announcements_left = self.transmissions();
     }
 
-    /// Takes members over from a list, as a node does that starts with a
-    /// recent view; for simulations of a fleet that has been running.
+    /// Takes over members from a list, for simulations of a fleet that has been
+    /// running for some time.
     pub fn preload_members(&mut self, records: impl Iterator<Item = MemberRecord>, now: Duration) {
         for record in records.filter(|record| record.node != self.own.node) {
             let member = Member { record, since: now };
@@ -168,14 +171,15 @@
         }
     }
 
-    /// Tells the others that this node is about to stop.
+    /// Announces that this node is about to stop.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Leaving;
         self.own.incarnation += 1;
         self.updates.push(self.own);
     }
 
-    /// Adds addresses to ask when the fleet must be found again; hints only.
+    /// Adds addresses to contact if the node has lost the fleet. They are used as
+    /// hints only.
     pub fn add_seeds(&mut self, hints: impl IntoIterator<Item = SocketAddr>) {
         for hint in hints {
             if hint != self.own.address && !self.seeds.contains(&hint) {
@@ -184,27 +188,27 @@
         }
     }
 
-    /// Time at which [`Membership::on_tick`] has work at the latest.
+    /// Time by which [`Membership::on_tick`] must be called.
     pub fn next_tick(&self) -> Duration {
         let probe = match self.probe {
-            Some(probe) if !probe.asked_others => self
+            Some(probe) if !probe.is_indirect => self
                 .next_probe
                 .min(probe.sent_at + self.settings.direct_timeout),
             _ => self.next_probe,
         };
         let next = probe.min(self.next_exchange);
-        if self.has_news() {
+        if self.has_updates() {
             next.min(self.next_gossip)
         } else {
             next
         }
     }
 
-    /// Does what is due.
+    /// Runs the tasks that are due at `now`.
     pub fn on_tick(&mut self, now: Duration, random: &mut impl Rng) -> Output {
         let mut output = Output::default();
         self.expire(now, &mut output);
-        self.ask_others(now, random, &mut output);
+        self.probe_indirectly(now, random, &mut output);
         if now >= self.next_probe {
             self.finish_probe(now, &mut output);
             self.start_probe(now, random, &mut output);
@@ -212,9 +216,9 @@
         }
         if now >= self.next_exchange {
             self.start_exchange(random, &mut output);
-            self.next_exchange = now + self.spread(self.settings.exchange_period, random);
+            self.next_exchange = now + self.jitter(self.settings.exchange_period, random);
         }
-        if self.has_news() && now >= self.next_gossip {
+        if self.has_updates() && now >= self.next_gossip {
             self.gossip(random, &mut output);
             self.next_gossip = now + self.settings.gossip_period;
         }
@@ -234,15 +238,15 @@
             self.learn(*record, now, &mut output);
         }
         let sender = message.from.address;
-        // Gossip is never answered, so that two nodes that think the other
-        // dead cannot keep each other busy.
+        // Gossip is never answered, so that two nodes that consider each other dead
+        // do not exchange messages endlessly.
         if message.payload != Payload::Gossip {
-            self.tell_what_is_believed(&message.from, &mut output);
+            self.notify_overridden(&message.from, &mut output);
         }
         match message.payload {
             Payload::Ping { number } => self.send(sender, Payload::Ack { number }, &mut output),
             Payload::PingRequest { number, target } => {
-                self.run_errand(sender, number, target, now, &mut output);
+                self.relay_probe(sender, number, target, now, &mut output);
             }
             Payload::Ack { number } => self.on_ack(number, &mut output),
             Payload::Gossip => {}
@@ -259,33 +263,35 @@
         output
     }
 
-    fn has_news(&self) -> bool {
+    fn has_updates(&self) -> bool {
         !self.updates.is_empty() || self.announcements_left > 0
     }
 
-    /// Times a record is sent: grows with the logarithm of the fleet, so
-    /// that it reaches all with high probability (SWIM, section 4.1).
+    /// Number of times that a record is sent: grows with the logarithm of the fleet's
+    /// size, so that the record reaches all nodes with high probability (SWIM, section
+    /// 4.1).
     fn transmissions(&self) -> u32 {
         const FACTOR: u32 = 4;
         let size = u32::try_from(self.members.len() + 1).unwrap_or(u32::MAX);
         FACTOR * (u32::BITS - size.leading_zeros())
     }
 
-    fn spread(&self, period: Duration, random: &mut impl Rng) -> Duration {
+    /// `period`, varied at random by up to 25% to spread exchanges over time.
+    fn jitter(&self, period: Duration, random: &mut impl Rng) -> Duration {
         period.mul_f64(random.random_range(0.75..1.25))
     }
 
-    /// Takes a record in if it replaces what is known.
+    /// Stores a record if it overrides the known one.
     pub(super) fn learn(&mut self, record: MemberRecord, now: Duration, output: &mut Output) {
         if record.node == self.own.node {
             self.refute(record);
             return;
         }
         let known = self.members.get(&record.node);
-        let is_news = known.is_none_or(|member| record.overrides(&member.record));
-        // The dead are not worth telling to those who never knew them.
+        let is_newer = known.is_none_or(|member| record.overrides(&member.record));
+        // Nodes that never knew a dead member do not need to learn of it.
         let is_stale_death = known.is_none() && record.state == MemberState::Dead;
-        if !is_news || is_stale_death {
+        if !is_newer || is_stale_death {
             return;
         }
         let changed = known.is_none_or(|member| member.record.state != record.state);
@@ -301,18 +307,18 @@
         }
     }
 
-    /// Lets a sender that is believed suspected or dead know it, so that it
-    /// can refute.
-    fn tell_what_is_believed(&mut self, sender: &MemberRecord, output: &mut Output) {
-        let believed = self.members.get(&sender.node).map(|member| member.record);
-        if let Some(believed) = believed.filter(|believed| believed.overrides(sender)) {
-            let message = self.message(Payload::Gossip, vec![believed]);
+    /// Sends a sender that is considered suspect or dead its record, so that it can
+    /// refute.
+    fn notify_overridden(&mut self, sender: &MemberRecord, output: &mut Output) {
+        let known = self.members.get(&sender.node).map(|member| member.record);
+        if let Some(known) = known.filter(|known| known.overrides(sender)) {
+            let message = self.message(Payload::Gossip, vec![known]);
             let to = sender.address;
             output.messages.push(OutgoingMessage { to, message });
         }
     }
 
-    /// Answers a wrong record about this node with a newer incarnation.
+    /// Overrides a wrong record about this node with a higher incarnation.
     fn refute(&mut self, record: MemberRecord) {
         if record.overrides(&self.own) {
             self.own.incarnation = record.incarnation + 1;
@@ -320,7 +326,8 @@
         }
     }
 
-    /// Declares suspects dead whose time is over; forgets the long dead.
+    /// Declares suspects dead whose time to refute is over; removes members that have
+    /// been dead for long.
     fn expire(&mut self, now: Duration, output: &mut Output) {
         let suspicion = self.settings.suspicion;
         let dead: Vec<MemberRecord> = self
@@ -339,7 +346,8 @@
         let tombstone = self.settings.tombstone;
         self.members
             .retain(|_, member| member.is_reachable() || now < member.since + tombstone);
-        self.errands.retain(|errand| now < errand.until);
+        self.relayed_probes
+            .retain(|relayed| now < relayed.expires_at);
     }
 
     fn gossip(&mut self, random: &mut impl Rng, output: &mut Output) {
@@ -354,7 +362,7 @@
         self.announcements_left = self.announcements_left.saturating_sub(1);
     }
 
-    /// Sends a message with records on its back.
+    /// Sends a message that carries pending records (piggybacking).
     pub(super) fn send(&mut self, to: SocketAddr, payload: Payload, output: &mut Output) {
         let limit = self.transmissions();
         let records = self.updates.take(self.settings.records_per_message, limit);
--- a/crates/linkhold-core/src/membership/updates.rs
+++ b/crates/linkhold-core/src/membership/updates.rs
@@ -1,9 +1,9 @@
-//! Statements on their way to other nodes: each is sent a limited number of
-//! times, the least sent first (SWIM, section 4.1).
+//! Queue of records to pass on: each is sent a limited number of times, the least
+//! sent first (SWIM, section 4.1).
 
 use super::member::{MemberRecord, NodeId};
 
-/// Statements a node passes on.
+/// Records that a node passes on to other nodes.
 #[derive(Debug, Default)]
 pub struct Updates {
     entries: Vec<Entry>,
@@ -16,22 +16,22 @@
 }
 
 impl Updates {
-    /// Queues a record, in place of an older one about the same member.
+    /// Queues a record; replaces a queued one about the same member.
     pub fn push(&mut self, record: MemberRecord) {
         self.remove(record.node);
         self.entries.push(Entry { record, sent: 0 });
     }
 
-    /// Whether nothing is to be passed on.
+    /// Whether no record is queued.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Up to `most` records for one message. A record that has been
-    /// sent `limit` times is dropped.
-    pub fn take(&mut self, most: usize, limit: u32) -> Vec<MemberRecord> {
+    /// Takes up to `max` records for one message, the least sent first. Drops records
+    /// that have been sent `limit` times.
+    pub fn take(&mut self, max: usize, limit: u32) -> Vec<MemberRecord> {
         self.entries.sort_by_key(|entry| entry.sent);
-        let chosen = self.entries.iter_mut().take(most);
+        let chosen = self.entries.iter_mut().take(max);
         let records = chosen
             .map(|entry| {
                 entry.sent += 1;
