--- a/crates/linkhold-core/src/lib.rs
+++ b/crates/linkhold-core/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decision logic of linkhold.
 //!
-//! Everything here is pure: events and the current time go in, decisions come
-//! out. There is no I/O, no clock, no logging and no source of randomness, so
+//! All code here is pure: it takes events and the current time and returns
+//! decisions. It has no I/O, clock, logging or source of randomness of its own, so
 //! the same code runs in a real node, in a simulation and in property tests.
 
 pub mod admission;
--- a/crates/linkhold-core/src/position.rs
+++ b/crates/linkhold-core/src/position.rs
@@ -5,15 +5,14 @@
 
 use std::fmt;
 
-/// A period with at most one primary. Terms only rise.
+/// A period with at most one primary. Terms only increase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Term(pub u64);
 
-/// Place of a log entry: the term it was written in, then its index.
+/// Position of a log entry: the term it was written in, then its index.
 ///
-/// The derived order compares the term first, which is what makes a position
-/// from a replaced primary's abandoned tail smaller than any position of the
-/// next term.
+/// The derived order compares the term first. A position in the discarded tail of a
+/// replaced primary's log is therefore smaller than any position of the next term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
     /// Term in which the entry was written.
@@ -23,7 +22,7 @@
 }
 
 impl Position {
-    /// Builds a position from its two numbers.
+    /// Builds a position from a term and an index.
     pub const fn new(term: u64, index: u64) -> Self {
         Self {
             term: Term(term),
--- a/crates/linkhold-core/src/rendezvous.rs
+++ b/crates/linkhold-core/src/rendezvous.rs
@@ -1,9 +1,9 @@
-//! Choice of a few nodes for a duty by rendezvous hashing.
+//! Assignment of duties to nodes by rendezvous hashing.
 //!
 //! Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit
-//! Rates", IEEE/ACM Transactions on Networking, 1998. Every node that sees the
-//! same members makes the same choice without talking, and a node that comes
-//! or goes moves only the duties it takes or had.
+//! Rates", IEEE/ACM Transactions on Networking, 1998. Nodes that see the same
+//! members make the same choice without communication, and a node that joins or
+//! leaves moves only the duties it gains or loses.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/linkhold-core/src/request_key.rs
+++ b/crates/linkhold-core/src/request_key.rs
@@ -1,10 +1,10 @@
-//! Request keys: how a request runs at most once, whichever node it comes by.
+//! Request keys, which make a request run at most once, whichever nodes it reaches.
 //!
 //! A node inserts the caller's key into a table of the same database in the
 //! same transaction as the request. The primary key of that table lets only
 //! one such transaction commit. A node that does not know the outcome of a
-//! request inserts the key as cancelled: if that commits, the request never
-//! can; if it conflicts, the stored row tells what happened.
+//! request inserts the key as cancelled: if that commits, the request can never
+//! commit; if it conflicts, the stored row holds the outcome.
 
 /// Table that holds request keys.
 pub const TABLE: &str = "linkhold_requests";
@@ -12,13 +12,13 @@
 pub const MAX_KEY_LENGTH: usize = 128;
 /// Outcome stored with a request that ran.
 pub const OUTCOME_COMPLETED: &str = "completed";
-/// Outcome stored when an unknown request was cancelled.
+/// Outcome stored when a request of unknown outcome was cancelled.
 pub const OUTCOME_CANCELLED: &str = "cancelled";
 /// How long keys are kept before they may be deleted, in seconds. A caller
 /// must not send the same key again after this time.
 pub const RETENTION_SECONDS: u64 = 24 * 60 * 60;
 
-/// Whether a caller's text may be used as a key: printable ASCII without
+/// Whether a text from a caller is a valid key: printable ASCII without
 /// quotes or backslashes, so that it needs no escaping anywhere.
 pub fn is_valid(key: &str) -> bool {
     let length_fits = !key.is_empty() && key.len() <= MAX_KEY_LENGTH;
@@ -48,7 +48,7 @@
     format!("SELECT outcome FROM {TABLE} WHERE request_key = '{key}'")
 }
 
-/// Statement that removes keys older than the retention at `now`.
+/// Statement that deletes keys older than the retention time at `now`.
 pub fn delete_expired(now: u64) -> String {
     let oldest = now.saturating_sub(RETENTION_SECONDS);
     format!("DELETE FROM {TABLE} WHERE recorded_at < {oldest}")
--- a/crates/linkhold-core/src/retry_budget.rs
+++ b/crates/linkhold-core/src/retry_budget.rs
@@ -1,12 +1,12 @@
-//! Budget that keeps retries a small fraction of requests, so that they never
-//! multiply an overload.
+//! Budget that limits retries to a small fraction of requests, so that they do not
+//! amplify an overload.
 
-/// Retries each answered request earns, in thousandths.
+/// Retries earned by each answered request, in thousandths.
 const EARNED_PER_REQUEST: u64 = 100;
-/// Price of a retry, in thousandths.
-const RETRY_PRICE: u64 = 1_000;
-/// Most that is saved up, in thousandths.
-const LARGEST_BALANCE: u64 = 10 * RETRY_PRICE;
+/// Cost of a retry, in thousandths.
+const RETRY_COST: u64 = 1_000;
+/// Largest balance, in thousandths of a retry.
+const MAX_BALANCE: u64 = 10 * RETRY_COST;
 
 /// A balance of retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,20 +17,20 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            balance: LARGEST_BALANCE,
+            balance: MAX_BALANCE,
         }
     }
 }
 
 impl RetryBudget {
-    /// A request was answered.
+    /// Records an answered request.
     pub fn earn(&mut self) {
-        self.balance = (self.balance + EARNED_PER_REQUEST).min(LARGEST_BALANCE);
+        self.balance = (self.balance + EARNED_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Takes the price of a retry; `false` if the balance does not cover it.
+    /// Pays for a retry; `false` if the balance is too low.
     pub fn try_spend(&mut self) -> bool {
-        match self.balance.checked_sub(RETRY_PRICE) {
+        match self.balance.checked_sub(RETRY_COST) {
             Some(rest) => {
                 self.balance = rest;
                 true
--- a/crates/linkhold-core/src/routing.rs
+++ b/crates/linkhold-core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of the instance that serves a read.
+//! Selection of the instance that serves a read.
 //!
 //! An instance is eligible when its row is active, its weight at this hour is
 //! above zero, it answers probes and it has reached the position the session
@@ -12,25 +12,25 @@
 use crate::group_view::{GroupView, InstanceIndex};
 use crate::position::Position;
 
-/// How much more an instance in the node's own zone counts.
+/// Factor by which the weight of an instance in the node's own zone is multiplied.
 pub const LOCAL_ZONE_FACTOR: u32 = 4;
 
-/// What routing needs to know of one instance at this moment.
+/// Current state of an instance, as far as routing depends on it.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Index in the database's view.
+    /// Index of the instance in the database's view.
     pub instance: InstanceIndex,
     /// Weight at the current hour.
     pub weight: u32,
-    /// In the node's own zone.
+    /// Whether the instance is in the node's own zone.
     pub local_zone: bool,
-    /// The row accepts new work.
+    /// Whether the instance's row accepts new work.
     pub accepts_work: bool,
-    /// A read would be admitted without waiting.
+    /// Whether a read would be admitted without waiting.
     pub has_room: bool,
 }
 
-/// Which instances a read may use.
+/// Instances that a read may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadScope {
     /// Replicas only.
@@ -41,8 +41,8 @@
     Any,
 }
 
-/// Picks an instance for a read that requires `required`, or `None` if no
-/// instance is eligible now.
+/// Selects an instance for a read that requires the position `required`; `None` if
+/// no instance is eligible now.
 pub fn choose_for_read(
     view: &GroupView,
     candidates: &[Candidate],
@@ -59,12 +59,12 @@
         .copied()
         .filter(|candidate| candidate.has_room)
         .collect();
-    let pool = if with_room.is_empty() {
+    let choices = if with_room.is_empty() {
         eligible
     } else {
         with_room
     };
-    pick_by_weight(&pool, random)
+    pick_by_weight(&choices, random)
 }
 
 fn is_eligible(
@@ -81,33 +81,36 @@
         ReadScope::Primary => is_primary,
         ReadScope::Any => true,
     };
-    // A primary serves reads only as the fallback, whatever its weight: the
-    // weight of a row is its share as a replica.
-    let weighted = candidate.weight > 0 || (is_primary && scope != ReadScope::Replicas);
+    // A primary serves reads only as a fallback, whatever its weight: the weight
+    // of a row is the instance's effective_weight of reads as a replica.
+    let has_weight = candidate.weight > 0 || (is_primary && scope != ReadScope::Replicas);
     in_scope
-        && weighted
+        && has_weight
         && candidate.accepts_work
         && view.is_reachable(candidate.instance)
         && view.has_reached(candidate.instance, required)
 }
 
-fn pick_by_weight(pool: &[&Candidate], random: &mut impl Rng) -> Option<InstanceIndex> {
-    let total: u32 = pool.iter().map(|candidate| share(candidate)).sum();
+fn pick_by_weight(choices: &[&Candidate], random: &mut impl Rng) -> Option<InstanceIndex> {
+    let total: u32 = choices
+        .iter()
+        .map(|candidate| effective_weight(candidate))
+        .sum();
     if total == 0 {
-        return pool.first().map(|candidate| candidate.instance);
+        return choices.first().map(|candidate| candidate.instance);
     }
     let mut point = random.random_range(0..total);
-    for candidate in pool {
-        let share = share(candidate);
-        if point < share {
+    for candidate in choices {
+        let effective_weight = effective_weight(candidate);
+        if point < effective_weight {
             return Some(candidate.instance);
         }
-        point -= share;
+        point -= effective_weight;
     }
     None
 }
 
-fn share(candidate: &Candidate) -> u32 {
+fn effective_weight(candidate: &Candidate) -> u32 {
     let factor = if candidate.local_zone {
         LOCAL_ZONE_FACTOR
     } else {
--- a/crates/linkhold-core/src/table_spread.rs
+++ b/crates/linkhold-core/src/table_spread.rs
@@ -1,14 +1,14 @@
-//! Spreading of the accepted table from node to node.
+//! Distribution of the accepted table between nodes.
 //!
 //! Each node announces its version and digest in every membership message. A
-//! node that hears of a higher version asks the announcer for it, and gets the
-//! changes since its own version, or the whole table.
+//! node that receives a higher version requests it from the announcer, which sends
+//! the changes since the node's version, or the whole table.
 //!
 //! # Invariants
 //!
-//! * The version of a node never goes down.
-//! * A table is put in force only if its cells match the announced digest, so
-//!   a damaged copy is noticed, not spread.
+//! * The version of a node never decreases.
+//! * A table is put in force only if its cells match the announced digest, so a
+//!   damaged copy is detected and not passed on.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -18,64 +18,65 @@
 use crate::membership::Announcement;
 use crate::table::{Delta, Sheet};
 
-/// Versions whose changes are kept for nodes that are behind.
+/// Number of versions whose changes are kept for nodes with an older version.
 const KEPT_DELTAS: usize = 64;
-/// Time after which an unanswered request is made again, elsewhere.
+/// Time after which an unanswered request is repeated, to the next announcer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A request for a newer table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableRequest {
-    /// Version the asking node has; 0 for none, which asks for all of it.
+    /// Version of the requesting node; 0 requests the whole table.
     pub have: u64,
 }
 
 /// Answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableResponse {
-    /// The answering node has nothing newer.
+    /// The answering node has no newer version.
     NothingNewer,
-    /// Changes, one version after the other.
+    /// Changes, in the order of versions.
     Deltas {
-        /// Version they start from.
+        /// Version that the first change applies to.
         from: u64,
         /// One entry for each version after it.
         deltas: Vec<Delta>,
-        /// Digest of the last version.
+        /// Digest of the newest version.
         digest: u64,
     },
-    /// All cells.
+    /// The whole table.
     Whole {
-        /// Version.
+        /// Version of the table.
         version: u64,
         /// Cells by row.
         rows: Vec<Vec<String>>,
-        /// Digest.
+        /// Digest of the table.
         digest: u64,
     },
 }
 
-/// What is to be done after an event.
+/// Action that follows from an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadAction {
-    /// Ask this node.
+    /// Send the request to this node.
     Request(SocketAddr, TableRequest),
     /// A newer version is in force.
     InForce(u64),
-    /// A copy did not match its digest.
+    /// A received copy of this version did not match its digest.
     Damaged(u64),
 }
 
-/// The table of one node.
+/// One node's copy of the table.
 #[derive(Debug, Default)]
 pub struct TableSpread {
     version: u64,
     digest: u64,
     sheet: Arc<Sheet>,
     deltas: VecDeque<Delta>,
-    asked_at: Option<Duration>,
-    /// The last deltas did not lead to the announced digest.
-    wants_whole: bool,
+    requested_at: Option<Duration>,
+    /// The last response did not match its digest, so the next request asks for the
+    /// whole table.
+    needs_whole_table: bool,
 }
 
 impl TableSpread {
@@ -89,7 +90,7 @@
         &self.sheet
     }
 
-    /// What this node announces.
+    /// The announcement for this node's messages.
     pub fn announcement(&self) -> Announcement {
         Announcement {
             table_version: self.version,
@@ -97,12 +98,13 @@
         }
     }
 
-    /// A version was read from the store.
+    /// Puts a version read from the store in force if it is newer.
     pub fn on_store_version(&mut self, version: u64, sheet: Sheet) -> Option<SpreadAction> {
         self.adopt(version, sheet)
     }
 
-    /// A node announced its version.
+    /// Handles an announcement; returns a request if the announced version is newer and
+    /// no request is pending.
     pub fn on_announcement(
         &mut self,
         from: SocketAddr,
@@ -113,13 +115,17 @@
             return None;
         }
         let is_waiting = self
-            .asked_at
-            .is_some_and(|asked_at| now < asked_at + REQUEST_TIMEOUT);
+            .requested_at
+            .is_some_and(|requested_at| now < requested_at + REQUEST_TIMEOUT);
         if is_waiting {
             return None;
         }
-        self.asked_at = Some(now);
-        let have = if self.wants_whole { 0 } else { self.version };
+        self.requested_at = Some(now);
+        let have = if self.needs_whole_table {
+            0
+        } else {
+            self.version
+        };
         Some(SpreadAction::Request(from, TableRequest { have }))
     }
 
@@ -149,28 +155,28 @@
         }
     }
 
-    /// Takes an answer in.
+    /// Handles a response.
     pub fn on_response(&mut self, response: TableResponse) -> Option<SpreadAction> {
-        self.asked_at = None;
+        self.requested_at = None;
         match response {
             TableResponse::NothingNewer => None,
             TableResponse::Deltas {
                 from,
                 deltas,
                 digest,
-            } => self.take_deltas(from, &deltas, digest),
+            } => self.apply_deltas(from, &deltas, digest),
             TableResponse::Whole {
                 version,
                 rows,
                 digest,
             } => {
                 let sheet = Sheet::from_cells(rows);
-                self.take(version, sheet, digest)
+                self.verify_and_adopt(version, sheet, digest)
             }
         }
     }
 
-    fn take_deltas(&mut self, from: u64, deltas: &[Delta], digest: u64) -> Option<SpreadAction> {
+    fn apply_deltas(&mut self, from: u64, deltas: &[Delta], digest: u64) -> Option<SpreadAction> {
         if from != self.version {
             return None;
         }
@@ -179,13 +185,18 @@
             sheet = delta.apply(&sheet);
         }
         let version = from + deltas.len() as u64;
-        self.take(version, sheet, digest)
+        self.verify_and_adopt(version, sheet, digest)
     }
 
-    fn take(&mut self, version: u64, sheet: Sheet, digest: u64) -> Option<SpreadAction> {
-        let is_whole = sheet.is_well_formed() && sheet.digest() == digest;
-        self.wants_whole = !is_whole;
-        if !is_whole {
+    fn verify_and_adopt(
+        &mut self,
+        version: u64,
+        sheet: Sheet,
+        digest: u64,
+    ) -> Option<SpreadAction> {
+        let is_intact = sheet.is_well_formed() && sheet.digest() == digest;
+        self.needs_whole_table = !is_intact;
+        if !is_intact {
             return Some(SpreadAction::Damaged(version));
         }
         self.adopt(version, sheet)
--- a/crates/linkhold-core/src/token.rs
+++ b/crates/linkhold-core/src/token.rs
@@ -1,7 +1,6 @@
 //! Session tokens: a database and a position, protected by a MAC.
 //!
-//! A token lets a session carry its own freshness requirement from node to
-//! node. The MAC (HMAC-SHA-256, RFC 2104, truncated to 128 bits as RFC 2104
+//! A token lets a session carry its freshness requirement from node to node. The MAC (HMAC-SHA-256, RFC 2104, truncated to 128 bits as RFC 2104
 //! section 5 allows) keeps a caller from forging a position, and the database
 //! identity keeps a token of one database from being used on another.
 
@@ -17,7 +16,7 @@
 const PAYLOAD_LENGTH: usize = 3 * FIELD_LENGTH;
 const TOKEN_LENGTH: usize = PAYLOAD_LENGTH + MAC_LENGTH;
 
-/// Why a token was refused.
+/// Reason for which a token was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TokenError {
     /// Not 80 hexadecimal digits.
@@ -36,7 +35,7 @@
 pub struct TokenKey(Vec<u8>);
 
 impl TokenKey {
-    /// Wraps key bytes.
+    /// Creates a key from its bytes.
     pub fn new(key: impl Into<Vec<u8>>) -> Self {
         Self(key.into())
     }
@@ -52,7 +51,7 @@
             .collect()
     }
 
-    /// Checks a token and returns its position.
+    /// Verifies a token and returns its position.
     pub fn verify(&self, database: &str, token: &str) -> Result<Position, TokenError> {
         let bytes = decode_hex(token).ok_or(TokenError::Malformed)?;
         let (payload, mac) = bytes.split_at(PAYLOAD_LENGTH);
