--- a/crates/linkhold-core/src/classify/effects.rs
+++ b/crates/linkhold-core/src/classify/effects.rs
@@ -1,4 +1,4 @@
-//! Effects of a statement, found by a walk over its syntax tree.
+//! Detection of a statement's effects in its syntax tree.
 
 use std::ops::ControlFlow;
 
@@ -9,8 +9,8 @@
 
 use super::{Unsupported, object_name};
 
-/// Functions known to have no effects and no dependence on session state.
-/// Any other function sends its statement to the primary.
+/// Functions known to have no effects and not to depend on session state. A
+/// statement that calls any other function goes to the primary.
 const PURE_FUNCTIONS: &[&str] = &[
     "abs",
     "array_agg",
@@ -93,15 +93,15 @@
     "version",
 ];
 
-/// What a walk over a statement found.
+/// Effects of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Effects {
     None,
-    Some,
+    Possible,
     Unsupported(Unsupported),
 }
 
-/// Walks over a statement.
+/// Determines the effects of a statement.
 pub(super) fn effects_of(statement: &Statement) -> Effects {
     let mut finder = EffectFinder {
         statements: 0,
@@ -111,35 +111,35 @@
     finder.effects
 }
 
-/// Walks a statement looking for anything that is more than a read.
+/// Visitor that looks for anything beyond a read.
 struct EffectFinder {
     statements: usize,
     effects: Effects,
 }
 
 impl EffectFinder {
-    fn raise(&mut self, effects: Effects) -> ControlFlow<()> {
+    fn record(&mut self, effects: Effects) -> ControlFlow<()> {
         self.effects = effects;
         match effects {
             Effects::Unsupported(_) => ControlFlow::Break(()),
-            Effects::None | Effects::Some => ControlFlow::Continue(()),
+            Effects::None | Effects::Possible => ControlFlow::Continue(()),
         }
     }
 
     fn check_function(&mut self, name: &ObjectName) -> ControlFlow<()> {
-        let full = object_name(name);
-        let bare = full.rsplit('.').next().unwrap_or_default();
-        if bare == "set_config" {
-            return self.raise(Effects::Unsupported(Unsupported::HiddenSetting));
+        let full_name = object_name(name);
+        let base_name = full_name.rsplit('.').next().unwrap_or_default();
+        if base_name == "set_config" {
+            return self.record(Effects::Unsupported(Unsupported::HiddenSetting));
         }
-        let session_lock = bare.contains("advisory") && !bare.contains("xact");
-        if session_lock {
-            return self.raise(Effects::Unsupported(Unsupported::AdvisoryLock));
+        let is_session_lock = base_name.contains("advisory") && !base_name.contains("xact");
+        if is_session_lock {
+            return self.record(Effects::Unsupported(Unsupported::AdvisoryLock));
         }
-        if PURE_FUNCTIONS.contains(&bare) {
+        if PURE_FUNCTIONS.contains(&base_name) {
             return ControlFlow::Continue(());
         }
-        self.raise(Effects::Some)
+        self.record(Effects::Possible)
     }
 }
 
@@ -150,14 +150,14 @@
         self.statements += 1;
         // A nested statement is a data-modifying common table expression.
         if self.statements > 1 {
-            return self.raise(Effects::Some);
+            return self.record(Effects::Possible);
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
         if !query.locks.is_empty() || selects_into(&query.body) {
-            return self.raise(Effects::Some);
+            return self.record(Effects::Possible);
         }
         ControlFlow::Continue(())
     }
@@ -166,7 +166,7 @@
         match expr {
             Expr::Function(function) => {
                 if matches!(function.args, FunctionArguments::Subquery(_)) {
-                    return self.raise(Effects::Some);
+                    return self.record(Effects::Possible);
                 }
                 self.check_function(&function.name)
             }
--- a/crates/linkhold-core/src/classify/mod.rs
+++ b/crates/linkhold-core/src/classify/mod.rs
@@ -1,6 +1,6 @@
-//! Classification of SQL text: what a statement may need from a back end.
+//! Classification of SQL text by the back end that it needs.
 //!
-//! Classification errs to the primary. A text that cannot be parsed, a
+//! In doubt, a statement goes to the primary. A text that cannot be parsed, a
 //! function that is not known to be free of effects, a locking clause or a
 //! data-modifying common table expression all count as writes.
 
@@ -14,8 +14,8 @@
 
 use effects::{Effects, effects_of};
 
-/// A feature that needs a back end session of its own, which transaction
-/// pooling cannot give. Such statements are refused, not run.
+/// A feature that needs a dedicated back end session, which transaction pooling
+/// does not provide. Such statements are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsupported {
     /// `COPY` in either direction.
@@ -52,24 +52,23 @@
     }
 }
 
-/// What one statement is to the proxy.
+/// Kind of a statement, as far as the proxy handles it differently.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
-    /// Reads only; any sufficiently fresh instance will do.
+    /// Only reads; any sufficiently fresh instance can run it.
     Read,
     /// May write, or its effects are not known.
     Write,
-    /// Not understood by the parser; may do anything, ending a transaction
-    /// included.
+    /// Not accepted by the parser; may do anything, including ending a transaction.
     Opaque,
     /// Starts a transaction.
     Begin {
-        /// Declared `READ ONLY`.
+        /// Whether it is declared `READ ONLY`.
         read_only: bool,
     },
     /// Ends a transaction, keeping its effects.
     Commit,
-    /// Ends a transaction, dropping its effects.
+    /// Ends a transaction, discarding its effects.
     Rollback,
     /// Changes a session setting.
     Set {
@@ -77,10 +76,10 @@
         name: String,
         /// Value without quotes.
         value: String,
-        /// `SET LOCAL`: ends with the transaction.
+        /// Whether it is `SET LOCAL`, which ends with the transaction.
         local: bool,
     },
-    /// Returns one setting, or all, to its default.
+    /// Resets one setting, or all, to the default.
     Reset {
         /// Lower-case name; `None` for `RESET ALL`.
         name: Option<String>,
@@ -94,17 +93,17 @@
     DiscardAll,
     /// `DEALLOCATE` of one prepared statement, or of all.
     Deallocate {
-        /// Name; `None` for all.
+        /// Name of the prepared statement; `None` for all.
         name: Option<String>,
     },
     /// Refused under transaction pooling.
     Unsupported(Unsupported),
 }
 
-/// What a request as a whole needs.
+/// Access that a whole request needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Access {
-    /// A fresh enough instance.
+    /// A sufficiently fresh instance.
     Read,
     /// The primary.
     Write,
@@ -143,7 +142,7 @@
             .any(|kind| matches!(kind, StatementKind::Commit | StatementKind::Opaque))
     }
 
-    /// The first feature in the text that is refused.
+    /// The first unsupported feature in the text; `None` if there is none.
     pub fn unsupported(&self) -> Option<Unsupported> {
         let multiple = self.statements.len() > 1;
         self.statements.iter().find_map(|kind| match kind {
@@ -160,7 +159,7 @@
         })
     }
 
-    /// The statement, if the text holds exactly one.
+    /// The statement, if the text consists of exactly one.
     pub fn single(&self) -> Option<&StatementKind> {
         match self.statements.as_slice() {
             [kind] => Some(kind),
@@ -171,7 +170,7 @@
 
 /// Classifies a text of zero or more statements.
 pub fn classify(text: &str) -> Classified {
-    if let Some(kind) = classify_by_words(text) {
+    if let Some(kind) = classify_by_keywords(text) {
         return Classified {
             statements: vec![kind],
         };
@@ -183,9 +182,9 @@
     Classified { statements }
 }
 
-/// `RESET`, `DEALLOCATE ALL` and `ABORT`, recognised by their words because the
-/// parser does not know them in every form.
-fn classify_by_words(text: &str) -> Option<StatementKind> {
+/// Recognises `RESET`, `DEALLOCATE ALL` and `ABORT` by their keywords, because the
+/// parser does not accept them in every form.
+fn classify_by_keywords(text: &str) -> Option<StatementKind> {
     let words = words(text)?;
     match words.as_slice() {
         [reset, all] if reset == "reset" && all == "all" => {
@@ -202,11 +201,12 @@
     }
 }
 
-/// Lower-case words of a short single statement.
+/// Lower-case words of a single short statement; `None` for a long text or several
+/// statements.
 fn words(text: &str) -> Option<Vec<String>> {
-    const LONGEST: usize = 200;
+    const MAX_LENGTH: usize = 200;
     let statement = text.trim().trim_end_matches(';').trim_end();
-    if statement.len() > LONGEST || statement.contains(';') {
+    if statement.len() > MAX_LENGTH || statement.contains(';') {
         return None;
     }
     Some(
@@ -217,8 +217,8 @@
     )
 }
 
-/// A text the parser rejects goes to the primary, unless it names a feature
-/// that must not leak from one session to the next.
+/// Classifies a text that the parser rejects. It goes to the primary, unless it
+/// mentions a feature whose effects must not leak from one session to another.
 fn classify_unparsed(text: &str) -> StatementKind {
     let lower = text.to_ascii_lowercase();
     let mentions = |word: &str| {
@@ -282,7 +282,7 @@
         }
         other => match effects_of(other) {
             Effects::Unsupported(feature) => StatementKind::Unsupported(feature),
-            Effects::None | Effects::Some => StatementKind::Write,
+            Effects::None | Effects::Possible => StatementKind::Write,
         },
     }
 }
@@ -294,13 +294,13 @@
 fn classify_query(statement: &Statement) -> StatementKind {
     match effects_of(statement) {
         Effects::None => StatementKind::Read,
-        Effects::Some => StatementKind::Write,
+        Effects::Possible => StatementKind::Write,
         Effects::Unsupported(feature) => StatementKind::Unsupported(feature),
     }
 }
 
 fn classify_set(set: &Set) -> StatementKind {
-    let hidden = StatementKind::Unsupported(Unsupported::HiddenSetting);
+    let unsupported = StatementKind::Unsupported(Unsupported::HiddenSetting);
     match set {
         Set::SingleAssignment {
             scope,
@@ -324,7 +324,7 @@
         },
         // Affects the current transaction only.
         Set::SetTransaction { session: false, .. } => StatementKind::Write,
-        _ => hidden,
+        _ => unsupported,
     }
 }
 
--- a/crates/linkhold-core/src/outcome.rs
+++ b/crates/linkhold-core/src/outcome.rs
@@ -1,24 +1,24 @@
-//! What a caller may be told about a request that did not simply complete.
+//! Outcomes reported to callers for requests that did not complete normally.
 //!
-//! Outcomes are a closed set. [`NotRun`] is said only when no byte of the
-//! request reached a back end, or when the back end proved that it did not
-//! run. Everything else that failed is [`Unknown`].
+//! Outcomes are a closed set. [`NotRun`] is reported only if no byte of the
+//! request reached a back end, or if the back end proved that the request did not
+//! run. Every other failure is [`Unknown`].
 
 use std::fmt;
 use std::time::Duration;
 
-/// Why a request certainly did not run. Each reason has a SQLSTATE in the
+/// Reason for which a request certainly did not run. Each has a SQLSTATE in the
 /// implementation-defined class `LH` (SQL:2016 part 2, section 24.1 leaves
 /// classes beginning with I to Z to the implementation).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NotRun {
-    /// No confirmed primary within the write wait.
+    /// No primary was confirmed within the write wait.
     NoPrimary,
     /// No slot within the queueing bound.
     Overloaded,
     /// No instance reached the required position within the read wait.
     NoFreshInstance,
-    /// No majority answered, so no fence could be drawn.
+    /// No majority answered, so no fence could be determined.
     NoMajority,
     /// The node is leaving.
     Stopping,
@@ -26,39 +26,39 @@
     BackendUnavailable,
     /// The caller cancelled before the request was sent.
     Cancelled,
-    /// A request key was cancelled after its outcome had been unknown.
+    /// The request key was cancelled while its outcome was unknown.
     KeyCancelled,
     /// The database is not in the table.
     UnknownDatabase,
-    /// The caller's credential is not, or no longer, known.
+    /// The caller's credential is unknown or no longer known.
     UnknownCredential,
-    /// The tenant has used up what it may ask for now.
+    /// The tenant has used up its rate limit.
     OverQuota {
-        /// When it may ask again.
+        /// Time after which the tenant may retry.
         retry_after: Duration,
     },
-    /// Nobody was reached who tells whether the tenant may ask for more.
+    /// No node that grants the tenant's budget was reached.
     NoBudget,
-    /// The route and the tenant allow no region in common.
+    /// The route and the tenant have no allowed region in common.
     NoSharedRegion,
-    /// No instance stands in a region in which it may run.
+    /// No instance is in a region in which the request may run.
     NoInstanceInRegion,
-    /// Only the primary could run it, which stands in another region.
+    /// Only the primary can run the request, and it is in a region that is not allowed.
     PrimaryOutsideRegion,
-    /// What could run it stands in zones that are evacuated.
+    /// The instances that can run the request are in evacuated zones.
     Evacuated,
-    /// What could run it has just started and takes few requests for now.
+    /// The instances that can run the request are warming up and accept few requests.
     WarmingUp {
-        /// When there will be room.
+        /// Time after which an instance accepts another request.
         retry_after: Duration,
     },
-    /// The node has not learnt the configuration yet.
+    /// The node has not received the configuration yet.
     NotConfigured,
     /// The transaction was ended before its commit was sent.
     TransactionAborted,
 }
 
-/// Why the fate of a request is not known.
+/// Reason for which the outcome of a request is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Unknown {
     /// The connection to the back end failed after the request was sent.
@@ -127,12 +127,12 @@
         }
     }
 
-    /// Whether a back end may have begun to run the request before it was undone.
+    /// Whether a back end may have begun to run the request before it was rolled back.
     pub fn may_have_run(self) -> bool {
         matches!(self, Self::TransactionAborted)
     }
 
-    /// Shortest time after which trying again makes sense, before jitter.
+    /// Shortest useful delay before a retry, without jitter.
     pub fn retry_after(self) -> Duration {
         let milliseconds = match self {
             Self::OverQuota { retry_after } | Self::WarmingUp { retry_after } => {
@@ -145,7 +145,7 @@
             | Self::NotConfigured
             | Self::NoBudget => 100,
             Self::Stopping | Self::Cancelled | Self::KeyCancelled | Self::TransactionAborted => 0,
-            // An instance or a switch-over may come within seconds.
+            // A new instance or a switchover may resolve this within seconds.
             Self::NoInstanceInRegion | Self::PrimaryOutsideRegion | Self::Evacuated => 500,
             Self::UnknownDatabase | Self::UnknownCredential | Self::NoSharedRegion => 1_000,
         };
@@ -168,11 +168,11 @@
 /// Outcome of a request that did not complete normally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun(NotRun),
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown(Unknown),
-    /// Its request key shows that it ran, through this or another node.
+    /// The request key shows that the request ran, through this or another node.
     AlreadyCompleted,
 }
 
@@ -186,8 +186,8 @@
         }
     }
 
-    /// The DETAIL field: key=value pairs a program can read. `jitter` is a
-    /// number from 0 to 1 that spreads the time to come back.
+    /// The DETAIL field, as machine-readable `key=value` pairs. `jitter`, from 0 to 1,
+    /// spreads the retries of callers over time.
     pub fn detail(self, jitter: f64) -> String {
         match self {
             Self::NotRun(reason) => {
