--- a/crates/linkhold-core/src/table/check.rs
+++ b/crates/linkhold-core/src/table/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a table. Every finding is reported, with its row and column.
+//! Validation of a table. Every finding is reported with its row and column.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,23 +15,23 @@
 const MAX_SLOTS: u32 = 10_000;
 const MAX_CONNECTIONS: u32 = 100_000;
 const MAX_WAIT_MILLISECONDS: u32 = 60_000;
-/// Name of the console database, which no table row may use.
+/// Name of the operators' console database, which no row may use.
 pub const CONSOLE_DATABASE: &str = "linkhold";
 
-/// Something wrong with a table, and where.
+/// A mistake in a table and its location.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// Line in the file, from 1.
     pub line: u64,
-    /// Column, unless the finding is about the whole line.
+    /// Column; `None` if the finding concerns the whole line.
     pub column: Option<Column>,
-    /// What is wrong and what is allowed.
+    /// The mistake and the allowed values.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding about a line as a whole.
-    pub fn of_file(line: u64, message: impl Into<String>) -> Self {
+    /// A finding that concerns a whole line.
+    pub fn of_line(line: u64, message: impl Into<String>) -> Self {
         Self {
             line,
             column: None,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A finding about one cell.
+    /// A finding that concerns one cell.
     pub fn of_cell(line: u64, column: Column, message: impl Into<String>) -> Self {
         Self {
             line,
@@ -62,13 +62,13 @@
     }
 }
 
-/// Checks a sheet and builds its topology, or reports every finding.
+/// Checks a sheet and builds its topology. `Err` lists all findings.
 pub fn check(sheet: &Sheet) -> Result<Topology, Vec<Finding>> {
     let mut findings = Vec::new();
     let mut topology = Topology::default();
     for row in &sheet.rows {
         if let Some(parsed) = ParsedRow::read(row, &mut findings) {
-            place(parsed, &mut topology, &mut findings);
+            add_row(parsed, &mut topology, &mut findings);
         }
     }
     check_addresses(sheet, &mut findings);
@@ -80,7 +80,7 @@
     }
 }
 
-/// A row whose cells are all well formed.
+/// A row whose cells are all valid.
 struct ParsedRow {
     line: u64,
     group: String,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Reads the cells of one row, collecting findings.
+/// Parses the cells of one row and collects findings.
 struct CellReader<'a> {
     row: &'a SheetRow,
     findings: &'a mut Vec<Finding>,
@@ -188,14 +188,14 @@
         parsed
     }
 
-    fn number(&mut self, column: Column, least: u32, most: u32) -> Option<u32> {
+    fn number(&mut self, column: Column, min: u32, max: u32) -> Option<u32> {
         let text = self.row.cell(column);
         let number = text
             .parse::<u32>()
             .ok()
-            .filter(|number| (least..=most).contains(number));
+            .filter(|number| (min..=max).contains(number));
         if number.is_none() {
-            let message = format!("`{text}`: expected a whole number from {least} to {most}");
+            let message = format!("`{text}`: expected a whole number from {min} to {max}");
             self.report(column, message);
         }
         number
@@ -214,8 +214,8 @@
     }
 }
 
-/// Adds a row to the topology, comparing it with the rows before it.
-fn place(row: ParsedRow, topology: &mut Topology, findings: &mut Vec<Finding>) {
+/// Adds a row to the topology and compares it with the earlier rows.
+fn add_row(row: ParsedRow, topology: &mut Topology, findings: &mut Vec<Finding>) {
     let database = topology
         .databases
         .entry(row.database.clone())
@@ -226,12 +226,12 @@
             read_wait: row.read_wait,
             write_wait: row.write_wait,
         });
-    let agreed = [
+    let agreements = [
         (Column::Group, database.group == row.group),
         (Column::ReadWait, database.read_wait == row.read_wait),
         (Column::WriteWait, database.write_wait == row.write_wait),
     ];
-    report_disagreements(&agreed, "rows of this database", row.line, findings);
+    report_disagreements(&agreements, "rows of this database", row.line, findings);
     let known = database
         .instances
         .iter_mut()
@@ -242,9 +242,9 @@
     }
 }
 
-/// Adds the hours of a further row of the same instance.
+/// Adds the hours of another row of the same instance.
 fn add_hours(known: &mut Instance, row: &Instance, line: u64, findings: &mut Vec<Finding>) {
-    let agreed = [
+    let agreements = [
         (Column::Address, known.address == row.address),
         (Column::Zone, known.zone == row.zone),
         (Column::Slots, known.slots == row.slots),
@@ -254,7 +254,7 @@
         ),
         (Column::State, known.state == row.state),
     ];
-    report_disagreements(&agreed, "rows of this instance", line, findings);
+    report_disagreements(&agreements, "rows of this instance", line, findings);
     let added = row.weights[0];
     let overlaps = known
         .weights
@@ -271,12 +271,12 @@
 }
 
 fn report_disagreements(
-    agreed: &[(Column, bool)],
+    agreements: &[(Column, bool)],
     scope: &str,
     line: u64,
     findings: &mut Vec<Finding>,
 ) {
-    for (column, _) in agreed.iter().filter(|(_, agreed)| !agreed) {
+    for (column, _) in agreements.iter().filter(|(_, agrees)| !agrees) {
         findings.push(Finding::of_cell(
             line,
             *column,
@@ -285,7 +285,7 @@
     }
 }
 
-/// Two instances must not share an address.
+/// Reports instances that share an address.
 fn check_addresses(sheet: &Sheet, findings: &mut Vec<Finding>) {
     let mut owners: BTreeMap<&str, (&str, &str)> = BTreeMap::new();
     for row in &sheet.rows {
--- a/crates/linkhold-core/src/table/column.rs
+++ b/crates/linkhold-core/src/table/column.rs
@@ -7,27 +7,27 @@
 pub enum Column {
     /// Name of the database group.
     Group,
-    /// Name callers connect to.
+    /// Name that callers connect to.
     Database,
     /// Name of the instance.
     Instance,
     /// IP address and port.
     Address,
-    /// Zone the instance stands in.
+    /// Zone in which the instance is located.
     Zone,
-    /// Hours of the day (UTC) for which the weight holds.
+    /// Hours of the day (UTC) in which the weight applies.
     Hours,
     /// Share of replica reads in those hours.
     Weight,
-    /// Requests the instance runs at once.
+    /// Requests that the instance runs concurrently.
     Slots,
-    /// Connections the whole fleet may hold.
+    /// Connections to the instance that the whole fleet may hold.
     ConnectionLimit,
     /// Longest wait of a read for a fresh instance, in milliseconds.
     ReadWait,
     /// Longest wait of a write for a primary, in milliseconds.
     WriteWait,
-    /// Whether new work may go there.
+    /// Whether the instance accepts new work.
     State,
 }
 
--- a/crates/linkhold-core/src/table/delta.rs
+++ b/crates/linkhold-core/src/table/delta.rs
@@ -8,12 +8,12 @@
 
 type RowKey = (String, String, String);
 
-/// What changes one sheet into another. The order of rows does not matter.
+/// Changes that turn one sheet into another, regardless of the order of rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// Rows that are no longer there.
+    /// Keys of removed rows.
     pub removed: Vec<RowKey>,
-    /// Cells of rows that are new or have changed.
+    /// Cells of rows that were added or changed.
     pub changed: Vec<Vec<String>>,
 }
 
@@ -41,7 +41,7 @@
         Self { removed, changed }
     }
 
-    /// The sheet after the change.
+    /// The sheet `before` with the changes applied.
     pub fn apply(&self, before: &Sheet) -> Sheet {
         let mut rows = before.rows.clone();
         rows.retain(|row| !self.removed.contains(&row.key()));
@@ -60,8 +60,8 @@
 }
 
 impl Sheet {
-    /// Digest of all cells, the same for any order of rows (XXH3, 64 bits). It
-    /// tells a damaged or different copy; it is no protection against forgery.
+    /// Digest of all cells, independent of the order of rows (XXH3, 64 bits). It
+    /// detects damaged or different copies, but does not protect against forgery.
     pub fn digest(&self) -> u64 {
         let mut rows: Vec<&Vec<String>> = self.rows.iter().map(|row| &row.cells).collect();
         rows.sort_unstable();
--- a/crates/linkhold-core/src/table/hours.rs
+++ b/crates/linkhold-core/src/table/hours.rs
@@ -7,8 +7,8 @@
 
 const HOURS_PER_DAY: u8 = 24;
 
-/// Hours of the day in UTC, from the first to before the last. A range whose
-/// end is not after its start runs over midnight. Written `6-18`, `22-4`, or
+/// Hours of the day in UTC; the end is exclusive. A range whose end is not after its
+/// start extends over midnight. Written `6-18`, `22-4`, or
 /// `*` for the whole day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HourRange {
@@ -28,13 +28,13 @@
         length: HOURS_PER_DAY,
     };
 
-    /// Whether the range holds this hour (0 to 23).
+    /// Whether the range contains this hour (0 to 23).
     pub fn contains(self, hour: u8) -> bool {
         let offset = (hour + HOURS_PER_DAY - self.start) % HOURS_PER_DAY;
         offset < self.length
     }
 
-    /// Whether two ranges share an hour.
+    /// Whether the two ranges have an hour in common.
     pub fn overlaps(self, other: Self) -> bool {
         (0..HOURS_PER_DAY).any(|hour| self.contains(hour) && other.contains(hour))
     }
--- a/crates/linkhold-core/src/table/mod.rs
+++ b/crates/linkhold-core/src/table/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' table: which back ends exist and how much each may do.
+//! The operators' table of back ends and their limits.
 //!
-//! [`Sheet`] is the table as operators see it, cells of text. [`Topology`] is
-//! what a checked sheet means. [`rebase`] merges edits made at the same time.
+//! [`Sheet`] is the table as operators edit it, as cells of text. [`Topology`] is
+//! built from a checked sheet. [`rebase`] merges concurrent edits.
 
 mod check;
 mod column;
--- a/crates/linkhold-core/src/table/rebase.rs
+++ b/crates/linkhold-core/src/table/rebase.rs
@@ -1,9 +1,9 @@
-//! Merging of edits made at the same time.
+//! Merging of concurrent edits.
 //!
-//! An operator edits a copy of some version. If the table has moved on, the
-//! operator's changes are taken as a list of cell changes and applied to the
-//! current version. Changes to different cells both succeed; changes of the
-//! same cell to different values are a conflict, reported and not applied.
+//! An operator edits a copy of some version. If the table has changed since, the
+//! edit's cell changes are applied to the current version. Changes to different
+//! cells both succeed; changes of the same cell to different values are a conflict,
+//! which is reported and not applied.
 
 use std::collections::BTreeMap;
 
@@ -12,16 +12,16 @@
 
 type RowKey = (String, String, String);
 
-/// Two edits that cannot both hold.
+/// Two edits that contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict {
     /// Database, instance and hours of the row.
     pub row: RowKey,
-    /// Column, or `None` when one edit removed or added the whole row.
+    /// Column; `None` if one of the edits removed or added the whole row.
     pub column: Option<Column>,
-    /// What the edit wanted.
+    /// Value that the edit sets.
     pub wanted: String,
-    /// What the current table has.
+    /// Value in the current table.
     pub current: String,
 }
 
@@ -99,8 +99,8 @@
     for column in changed {
         let current = row.cell(column);
         let wanted = edited.cell(column);
-        let untouched = current == base.cell(column) || current == wanted;
-        if untouched {
+        let is_mergeable = current == base.cell(column) || current == wanted;
+        if is_mergeable {
             row.cells[column.index()] = wanted.to_owned();
         } else {
             conflicts.push(Conflict {
--- a/crates/linkhold-core/src/table/sheet.rs
+++ b/crates/linkhold-core/src/table/sheet.rs
@@ -1,11 +1,11 @@
-//! The table as cells of text.
+//! The table as rows of text cells.
 
 use std::collections::HashSet;
 
 use super::check::Finding;
 use super::column::Column;
 
-/// One row of cells and the line it stands on.
+/// A row of cells and its line number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SheetRow {
     /// Line in the file, from 1; the heading is on line 1 unless comments
@@ -21,7 +21,7 @@
         &self.cells[column.index()]
     }
 
-    /// What identifies the row across edits: database, instance and hours.
+    /// Key that identifies the row across edits: database, instance and hours.
     pub fn key(&self) -> (String, String, String) {
         (
             self.cell(Column::Database).to_owned(),
@@ -39,8 +39,8 @@
 }
 
 impl Sheet {
-    /// Reads CSV. Columns may stand in any order; lines beginning with `#`
-    /// are comments. All findings about the shape are reported together.
+    /// Parses CSV. Columns may appear in any order; lines that begin with `#` are
+    /// comments. `Err` lists all findings about headings and row lengths.
     pub fn parse(text: &str) -> Result<Self, Vec<Finding>> {
         let mut reader = csv::ReaderBuilder::new()
             .comment(Some(b'#'))
@@ -49,7 +49,7 @@
             .from_reader(text.as_bytes());
         let headings = match reader.headers() {
             Ok(headings) => headings.clone(),
-            Err(error) => return Err(vec![Finding::of_file(1, error.to_string())]),
+            Err(error) => return Err(vec![Finding::of_line(1, error.to_string())]),
         };
         let heading_line = headings.position().map_or(1, |position| position.line());
         let (columns, mut findings) = match_headings(&headings, heading_line);
@@ -59,7 +59,7 @@
                 Ok(record) => rows.extend(read_row(&record, &columns, &mut findings)),
                 Err(error) => {
                     let line = error.position().map_or(0, csv::Position::line);
-                    findings.push(Finding::of_file(line, error.to_string()));
+                    findings.push(Finding::of_line(line, error.to_string()));
                 }
             }
         }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A sheet of cells that did not come from a file.
+    /// Creates a sheet from cells that were not read from a file.
     pub fn from_cells(rows: Vec<Vec<String>>) -> Self {
         let rows = rows
             .into_iter()
@@ -113,7 +113,7 @@
         .map(|heading| {
             let column = Column::from_heading(heading);
             match column {
-                None => findings.push(Finding::of_file(
+                None => findings.push(Finding::of_line(
                     line,
                     format!(
                         "unknown column `{heading}`; allowed: {}",
@@ -121,7 +121,7 @@
                     ),
                 )),
                 Some(known) if !seen.insert(known) => {
-                    findings.push(Finding::of_file(
+                    findings.push(Finding::of_line(
                         line,
                         format!("column `{heading}` stands twice"),
                     ));
@@ -132,7 +132,7 @@
         })
         .collect();
     for missing in Column::ALL.iter().filter(|column| !seen.contains(column)) {
-        findings.push(Finding::of_file(
+        findings.push(Finding::of_line(
             line,
             format!("column `{missing}` is missing"),
         ));
@@ -151,7 +151,7 @@
 ) -> Option<SheetRow> {
     let line = record.position().map_or(0, csv::Position::line);
     if record.len() != columns.len() {
-        findings.push(Finding::of_file(
+        findings.push(Finding::of_line(
             line,
             format!(
                 "{} cells where the heading has {}",
--- a/crates/linkhold-core/src/table/topology.rs
+++ b/crates/linkhold-core/src/table/topology.rs
@@ -1,4 +1,4 @@
-//! What a checked table means.
+//! Databases and instances, as built from a checked table.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,19 +6,19 @@
 
 use super::hours::HourRange;
 
-/// Whether new work may go to a back end.
+/// Whether a back end accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BackendState {
-    /// Takes work.
+    /// Accepts new work.
     Active,
-    /// Finishes what it has and takes no new work.
+    /// Finishes its current work and accepts no more.
     Leaving,
 }
 
-/// Weight of an instance in some hours of the day.
+/// Weight of an instance in a range of hours of the day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HourlyWeight {
-    /// Hours the weight holds for.
+    /// Hours in which the weight applies.
     pub hours: HourRange,
     /// Share of replica reads relative to the other instances.
     pub weight: u32,
@@ -29,17 +29,17 @@
 pub struct Instance {
     /// Name, unique within its database.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Zone it stands in.
+    /// Zone in which it is located.
     pub zone: String,
-    /// Weights by hour; hours that no row names have weight 0.
+    /// Weights by hour; hours that no row covers have weight 0.
     pub weights: Vec<HourlyWeight>,
-    /// Requests it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Connections the whole fleet may hold to it.
+    /// Connections to it that the whole fleet may hold.
     pub connection_limit: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: BackendState,
 }
 
--- a/crates/linkhold-core/tests/table.rs
+++ b/crates/linkhold-core/tests/table.rs
@@ -1,4 +1,5 @@
-//! The table: findings, hours and rebase.
+//! The table: findings, hours and rebase. Guards against mistakes that are not reported
+//! with their row and column, and against concurrent edits that lose a change.
 
 use linkhold_core::table::rebase::rebase;
 use linkhold_core::table::{Finding, HourRange, Sheet, Topology, check};
@@ -122,9 +123,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Of two edits, in either order, each changed cell ends with a value
-    /// some edit gave it, and a conflict is reported exactly when both gave
-    /// the same cell different values.
+    /// After two edits, each changed cell has a value that one of the edits gave it. A
+    /// conflict is reported exactly if both edits give the same cell different values.
     #[test]
     fn two_edits_never_lose_a_change(
         first in proptest::collection::vec((0..2_usize, 6..11_usize, 1..5_u32), 0..4),
--- a/crates/linkhold-core/tests/table_spread.rs
+++ b/crates/linkhold-core/tests/table_spread.rs
@@ -1,5 +1,6 @@
-//! Spreading of the table: versions only rise, damaged copies are noticed,
-//! and changes lead to the same table as the whole.
+//! Distribution of the table between nodes. Guards against a version that decreases when
+//! responses are delayed or repeated, against damaged copies that are put in force, and
+//! against changes that lead to another table than the whole copy.
 
 use std::time::Duration;
 
@@ -20,18 +21,18 @@
     Sheet::from_cells(rows.collect())
 }
 
-fn keeper(versions: &[&[u32]]) -> TableSpread {
-    let mut keeper = TableSpread::default();
+fn spread_with(versions: &[&[u32]]) -> TableSpread {
+    let mut table = TableSpread::default();
     for (index, weights) in versions.iter().enumerate() {
-        keeper.on_store_version(index as u64 + 1, sheet(weights));
+        table.on_store_version(index as u64 + 1, sheet(weights));
     }
-    keeper
+    table
 }
 
 #[test]
 fn a_node_that_is_behind_gets_the_changes_only() {
-    let ahead = keeper(&[&[1, 1], &[1, 2], &[1, 2, 3]]);
-    let mut behind = keeper(&[&[1, 1]]);
+    let ahead = spread_with(&[&[1, 1], &[1, 2], &[1, 2, 3]]);
+    let mut behind = spread_with(&[&[1, 1]]);
     let response = ahead.on_request(TableRequest { have: 1 });
     assert!(matches!(&response, TableResponse::Deltas { deltas, .. } if deltas.len() == 2));
     assert_eq!(behind.on_response(response), Some(SpreadAction::InForce(3)));
@@ -40,8 +41,8 @@
 
 #[test]
 fn a_damaged_copy_is_refused_and_asked_for_whole() {
-    let ahead = keeper(&[&[1], &[2]]);
-    let mut behind = keeper(&[&[1]]);
+    let ahead = spread_with(&[&[1], &[2]]);
+    let mut behind = spread_with(&[&[1]]);
     let TableResponse::Deltas {
         from,
         mut deltas,
@@ -70,7 +71,7 @@
 
 #[test]
 fn an_unanswered_request_is_made_again_elsewhere() {
-    let mut behind = keeper(&[&[1]]);
+    let mut behind = spread_with(&[&[1]]);
     let announcement = Announcement {
         table_version: 2,
         table_digest: 0,
@@ -126,7 +127,7 @@
         prop_assert_eq!(reached.digest(), after.digest());
     }
 
-    /// Answers delayed, repeated and out of order never take a version back.
+    /// Delayed, repeated and reordered responses never decrease a version.
     #[test]
     fn versions_only_rise(picks in proptest::collection::vec((0..6_usize, 0..6_u64), 1..30)) {
         let versions: Vec<Vec<u32>> = (1..=6).map(|version| vec![version; 3]).collect();
@@ -134,7 +135,7 @@
         let mut highest = 0;
         for (newest, have) in picks {
             let known: Vec<&[u32]> = versions[..=newest].iter().map(Vec::as_slice).collect();
-            let response = keeper(&known).on_request(TableRequest { have });
+            let response = spread_with(&known).on_request(TableRequest { have });
             node.on_response(response);
             prop_assert!(node.version() >= highest);
             highest = node.version();
