--- a/crates/linkhold-core/src/group_view.rs
+++ b/crates/linkhold-core/src/group_view.rs
@@ -27,7 +27,7 @@
 pub type InstanceIndex = usize;
 
 /// Role an instance reports for itself. A replaced primary may still report
-/// [`Role::Primary`]; the term tells the two apart.
+/// [`Role::Primary`]; the term distinguishes the two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Accepts writes.
--- a/crates/linkhold-core/src/membership/exchange.rs
+++ b/crates/linkhold-core/src/membership/exchange.rs
@@ -14,6 +14,7 @@
     /// Compares views with a random member, and sometimes with a seed or a member
     /// considered dead, so that the sides of a partitioned fleet find each other again.
     pub(super) fn start_exchange(&mut self, random: &mut impl Rng, output: &mut Output) {
+        /// Fraction of exchanges that go to a seed or an unreachable member.
         const UNREACHABLE_FRACTION: f64 = 0.25;
         let reachable = self.reachable_except(self.own.node);
         let mut unreachable_or_seeds: Vec<SocketAddr> = self
@@ -42,12 +43,13 @@
     pub(super) fn exchange_payload(&self, is_answer: bool) -> Payload {
         Payload::Exchange {
             digest: self.view_digest(),
-            known: self.known(),
+            known: self.known_members(),
             is_answer,
         }
     }
 
-    pub(super) fn known(&self) -> u32 {
+    /// Number of known members, including this node.
+    pub(super) fn known_members(&self) -> u32 {
         u32::try_from(self.members.len() + 1).unwrap_or(u32::MAX)
     }
 
@@ -80,7 +82,7 @@
             self.members.values().map(|member| member.record).collect();
         records.shuffle(random);
         let per_message = self.settings.records_per_message;
-        let knows_few = known_by_peer < self.known() / 2;
+        let knows_few = known_by_peer < self.known_members() / 2;
         if !knows_few {
             records.truncate(MAX_MESSAGES * per_message);
         }
--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -60,7 +60,8 @@
 impl GrantRole {
     /// The role of a node at `rank` in its view of the fleet (`None`: not among the
     /// tenant's coordinators). The store was last heard from `view_age` ago;
-    /// `predecessors_lost` says that the nodes ranked before this one did not answer it.
+    /// `predecessors_lost` says that the nodes ranked before this one did not answer
+    /// it.
     pub fn of_rank(rank: Option<usize>, view_age: Duration, predecessors_lost: bool) -> Self {
         match rank {
             Some(0) if view_age < MAX_VIEW_AGE => Self::Coordinator,
--- a/crates/linkhold-core/src/token.rs
+++ b/crates/linkhold-core/src/token.rs
@@ -1,8 +1,9 @@
 //! Session tokens: a database and a position, protected by a MAC.
 //!
-//! A token lets a session carry its freshness requirement from node to node. The MAC (HMAC-SHA-256, RFC 2104, truncated to 128 bits as RFC 2104
-//! section 5 allows) keeps a caller from forging a position, and the database
-//! identity keeps a token of one database from being used on another.
+//! A token lets a session carry its freshness requirement from node to node. The MAC
+//! (HMAC-SHA-256, RFC 2104, truncated to 128 bits as RFC 2104 section 5 allows) keeps a
+//! caller from forging a position, and the database identity keeps a token of one
+//! database from being used on another.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
--- a/crates/linkhold-core/tests/classification.rs
+++ b/crates/linkhold-core/tests/classification.rs
@@ -1,5 +1,5 @@
-//! Classification of statements. Guards against statements with effects that are sent to a
-//! replica, and against session features that leak through transaction pooling.
+//! Classification of statements. Guards against statements with effects that are sent
+//! to a replica, and against session features that leak through transaction pooling.
 
 use linkhold_core::classify::{Access, StatementKind, Unsupported, classify};
 
--- a/crates/linkhold-core/tests/tenancy.rs
+++ b/crates/linkhold-core/tests/tenancy.rs
@@ -1,5 +1,5 @@
-//! Tenants, credentials and the routes that a caller may use. Guards against a caller that
-//! is admitted without a valid credential or as another tenant.
+//! Tenants, credentials and the routes that a caller may use. Guards against a caller
+//! that is admitted without a valid credential or as another tenant.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn faults_in_tenants_are_told_and_left_out() {
+fn faulty_tenants_are_reported_and_left_out() {
     let listed = [
         tenant("press", &["a", "shared"]),
         tenant("radio", &["shared"]),
--- a/crates/linkhold-core/tests/tenancy_budget.rs
+++ b/crates/linkhold-core/tests/tenancy_budget.rs
@@ -1,6 +1,6 @@
-//! Budgets of tenants. Guards against a window that lets more operations through than its
-//! limit while one coordinator succeeds another without knowing what that one granted, and
-//! against refusals for a tenant below its limit.
+//! Budgets of tenants. Guards against a window that lets more operations through than
+//! its limit while one coordinator succeeds another without knowing what that one
+//! granted, and against refusals for a tenant below its limit.
 
 use std::time::{Duration, Instant};
 
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_refusal_tells_when_the_bucket_has_one_again() {
+fn a_refusal_gives_the_time_until_the_next_operation() {
     let mut model = Model::new(4.0, 1.0);
     let drained = model.coordinator.grant(model.now, 1_000, &model.policy);
     assert!(drained.amount >= 1);
--- a/crates/linkhold-core/tests/tenancy_parts.rs
+++ b/crates/linkhold-core/tests/tenancy_parts.rs
@@ -1,5 +1,6 @@
-//! A partition between two coordinators of one tenant, in virtual time. Guards against both
-//! granting the whole rate to their sides of the fleet, so that a window exceeds its limit.
+//! A partition between two coordinators of one tenant, in virtual time. Guards against
+//! both granting the whole rate to their sides of the fleet, so that a window exceeds
+//! its limit.
 
 use std::time::{Duration, Instant};
 
@@ -237,8 +238,8 @@
     assert!(most_in_a_window(500.0, &even_split(), ALL) as f64 <= allowed(500.0));
 }
 
-/// Each side grants without knowing whether the other coordinator still runs. While both
-/// sides saturate the limit, no more than a tenth of the rate goes unused.
+/// Each side grants without knowing whether the other coordinator still runs. While
+/// both sides saturate the limit, no more than a tenth of the rate goes unused.
 #[test]
 fn the_rate_is_used_on_both_sides() {
     let start = Instant::now();
--- a/crates/linkhold-core/tests/token.rs
+++ b/crates/linkhold-core/tests/token.rs
@@ -1,5 +1,5 @@
-//! Session tokens. Guards against forged, damaged or foreign tokens that are accepted: only
-//! tokens that the fleet issued for the same database are.
+//! Session tokens. Guards against forged, damaged or foreign tokens that are accepted:
+//! only tokens that the fleet issued for the same database are.
 
 use linkhold_core::position::Position;
 use linkhold_core::token::{TokenError, TokenKey};
