--- a/crates/linkhold-core/src/tenancy/rate.rs
+++ b/crates/linkhold-core/src/tenancy/rate.rs
@@ -20,7 +20,7 @@
 pub struct WindowLimit {
     /// Operations that the tenant is entitled to.
     pub guaranteed: f64,
-    /// Upper bound that holds under every fault.
+    /// Operations that a window must never exceed, whatever fails.
     pub max: f64,
 }
 
