--- a/crates/linkhold-core/src/membership/mod.rs
+++ b/crates/linkhold-core/src/membership/mod.rs
@@ -4,9 +4,9 @@
 //! Infection-style Process Group Membership Protocol", DSN 2002, with the
 //! suspicion mechanism (section 4.2), incarnation numbers and round-robin
 //! probing (section 4.3), and two additions: pending updates also travel in
-//! gossip messages of their own, and nodes periodically compare all records with
-//! a random peer (anti-entropy), which repairs what gossip lost and reunites a
-//! fleet that was partitioned.
+//! gossip messages of their own, and nodes periodically compare their views with
+//! a random peer and exchange records (anti-entropy), which repairs what gossip
+//! lost and reunites a fleet that was partitioned.
 //!
 //! [`Membership`] is pure: [`Membership::on_message`] and
 //! [`Membership::on_tick`] take the current time and return messages to send.
--- a/crates/linkhold-core/src/membership/protocol.rs
+++ b/crates/linkhold-core/src/membership/protocol.rs
@@ -156,14 +156,15 @@
             .chain(others.map(|member| member.record.node))
     }
 
-    /// Sets the announcement in every message, and gossips until it has spread.
+    /// Sets the announcement in every message, and gossips it until it has been sent
+    /// often enough to spread.
     pub fn announce(&mut self, announcement: Announcement) {
         self.announcement = announcement;
         self.announcements_left = self.transmissions();
     }
 
-    /// Takes over members from a list, for simulations of a fleet that has been
-    /// running for some time.
+    /// Takes over members from a list, like a node that starts with a recent view; for
+    /// simulations of a fleet that has been running for some time.
     pub fn preload_members(&mut self, records: impl Iterator<Item = MemberRecord>, now: Duration) {
         for record in records.filter(|record| record.node != self.own.node) {
             let member = Member { record, since: now };
