--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -31,7 +31,7 @@
 const FIRST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a follower waits for its first renewal to arrive, and again for a row to
 /// list it.
-const LISTING_TIMEOUT: Duration = Duration::from_millis(1_000);
+const LISTING_TIME: Duration = Duration::from_millis(1_000);
 
 /// What was last sent to a follower.
 #[derive(Default)]
@@ -239,14 +239,14 @@
 ) -> bool {
     let waiting = arrival.wait_for(Option::is_some);
     // An error means that the follower has left or sent no renewal.
-    let ticket = timeout(LISTING_TIMEOUT, waiting)
+    let ticket = timeout(LISTING_TIME, waiting)
         .await
         .ok()
         .and_then(|arrived| Some(arrived.ok()?.as_ref()?.ticket));
     let Some(ticket) = ticket else {
         return false;
     };
-    let listing = gateway.followers.wait_until_listed(ticket, LISTING_TIMEOUT);
+    let listing = gateway.followers.wait_until_listed(ticket, LISTING_TIME);
     listing.await
 }
 
