--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -53,7 +53,7 @@
     checked_at: Option<Instant>,
     /// Whether the coordinators before this node gave no answer.
     predecessors_lost: bool,
-    /// Shares of the rate that the requesting nodes were granted.
+    /// Parts of the rate that the requesting nodes were granted.
     parts: AskerParts<Requester>,
 }
 
