--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -16,7 +16,7 @@
 //!   is left of the reserve alone. It grants at the tenant's rate only after the
 //!   nodes before it gave no answer to itself either.
 //! * A node that was first and learns that another is now sends those who ask it
-//!   there ([`BudgetAnswer::Elsewhere`] in the shell).
+//!   there ([`BudgetAnswer::Redirect`] in the shell).
 //!
 //! * Two coordinators that both live, each reached by a part of the fleet and not by each
 //!   other, grant each part no more than it had ([`super::parts`]).
--- a/crates/linkhold-gateway/src/admission/coordinator.rs
+++ b/crates/linkhold-gateway/src/admission/coordinator.rs
@@ -33,7 +33,7 @@
     /// The granted budget.
     Granted(Grant),
     /// Another node is the tenant's coordinator now.
-    Elsewhere(SocketAddr),
+    Redirect(SocketAddr),
 }
 
 /// The node that requests a budget.
@@ -78,7 +78,7 @@
     requester: Requester,
 ) -> BudgetAnswer {
     if let Some(address) = displacing_node(environment, request.tenant) {
-        return BudgetAnswer::Elsewhere(address);
+        return BudgetAnswer::Redirect(address);
     }
     BudgetAnswer::Granted(grant(environment, request, requester))
 }
--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -266,7 +266,7 @@
         Coordinator::Itself => {
             match coordinator::answer_request(environment, request, Requester::Itself) {
                 BudgetAnswer::Granted(grant) => return Some(grant),
-                BudgetAnswer::Elsewhere(address) => address,
+                BudgetAnswer::Redirect(address) => address,
             }
         }
         Coordinator::Peer(address) => address,
@@ -274,11 +274,11 @@
     let answer = send_question(environment, address, request, deadline).await?;
     let redirected_to = match answer {
         BudgetAnswer::Granted(grant) => return Some(grant),
-        BudgetAnswer::Elsewhere(address) => address,
+        BudgetAnswer::Redirect(address) => address,
     };
     match send_question(environment, redirected_to, request, deadline).await? {
         BudgetAnswer::Granted(grant) => Some(grant),
-        BudgetAnswer::Elsewhere(_) => None,
+        BudgetAnswer::Redirect(_) => None,
     }
 }
 
--- a/crates/linkhold-gateway/src/peers/mod.rs
+++ b/crates/linkhold-gateway/src/peers/mod.rs
@@ -179,7 +179,7 @@
         }
         BudgetMessage::Redirect { number, address } => match address.parse() {
             Ok(address) => {
-                let answer = BudgetAnswer::Elsewhere(address);
+                let answer = BudgetAnswer::Redirect(address);
                 gateway.quotas.complete_request(number, answer);
             }
             Err(error) => Event::warn("peer_message_refused")
@@ -200,7 +200,7 @@
             amount: grant.amount,
             retry_after_ms: milliseconds(grant.retry_after),
         },
-        BudgetAnswer::Elsewhere(address) => BudgetMessage::Redirect {
+        BudgetAnswer::Redirect(address) => BudgetMessage::Redirect {
             number,
             address: address.to_string(),
         },
