--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -196,7 +196,10 @@
             list_as_of,
         };
         let beat = frame(&beat, key);
-        if send(gateway, writing, FeedKind::Beat, &beat).await.is_err() {
+        if send(gateway, writing, FeedKind::Heartbeat, &beat)
+            .await
+            .is_err()
+        {
             return;
         }
         // A beat is due after the interval even without a change.
--- a/crates/linkhold-gateway/src/metrics.rs
+++ b/crates/linkhold-gateway/src/metrics.rs
@@ -99,7 +99,7 @@
     /// What a follower needs to acknowledge writes and serve strict reads for primaries.
     Permission,
     /// Heartbeats of the reader.
-    Beat,
+    Heartbeat,
     /// Positions that logs had reached.
     Evidence,
 }
