--- a/crates/linkhold-core/src/tenancy/budget.rs
+++ b/crates/linkhold-core/src/tenancy/budget.rs
@@ -16,7 +16,7 @@
 //!   from the rest of the headroom. It grants at the tenant's rate only after the
 //!   nodes ranked before it have not answered its own questions either.
 //! * A former coordinator that learns of its successor redirects requests to it
-//!   (`BudgetAnswer::Elsewhere` in the gateway).
+//!   (`BudgetAnswer::Redirect` in the gateway).
 //! * Two running coordinators that do not reach each other, each asked by a part of
 //!   the fleet, grant each part no more than its previous share ([`super::shares`]).
 
--- a/crates/linkhold-gateway/src/feed/reader.rs
+++ b/crates/linkhold-gateway/src/feed/reader.rs
@@ -197,7 +197,7 @@
             list_as_of,
         };
         let heartbeat = frame(&heartbeat, key);
-        if send(gateway, writing, FeedKind::Beat, &heartbeat)
+        if send(gateway, writing, FeedKind::Heartbeat, &heartbeat)
             .await
             .is_err()
         {
