--- a/crates/linkhold/src/lib.rs
+++ b/crates/linkhold/src/lib.rs
@@ -20,5 +20,5 @@
 pub mod platform;
 pub mod session;
 pub mod settings;
+pub mod table_actor;
 pub mod table_editor;
-pub mod table_keeper;
--- a/crates/linkhold/src/node.rs
+++ b/crates/linkhold/src/node.rs
@@ -24,7 +24,7 @@
 use crate::platform::PlatformClient;
 use crate::session::{CancelRegistry, OpenConnection, run_session};
 use crate::settings::{Settings, TableSource};
-use crate::table_keeper::{AbortOnDropHandle, TableKeeper, TableSnapshot, read_source};
+use crate::table_actor::{AbortOnDropHandle, TableActor, TableSnapshot, read_source};
 
 /// Reported to callers until a back end has told its own version.
 const DEFAULT_SERVER_VERSION: &str = "16.0 (linkhold)";
@@ -147,13 +147,13 @@
         let address = listener.local_addr()?;
         let settings = Arc::new(settings);
         let metrics = Arc::new(Metrics::default());
-        let keeper = TableKeeper::start();
+        let started_table = TableActor::start();
         let is_reader = Arc::new(AtomicBool::new(true));
         let reading = tokio::spawn(read_source(
             settings.table.clone(),
             settings.table_poll,
-            keeper.actor.clone(),
-            keeper.snapshot.clone(),
+            started_table.actor.clone(),
+            started_table.snapshot.clone(),
             is_reader.clone(),
         ));
         let members = MemberSnapshot::default();
@@ -168,8 +168,8 @@
                         settings: settings.clone(),
                         peer,
                         client_address: address,
-                        keeper: keeper.actor.clone(),
-                        table_changes: keeper.changes.clone(),
+                        table_actor: started_table.actor.clone(),
+                        table_changes: started_table.changes.clone(),
                         members: members.clone(),
                         is_reader,
                         metrics: metrics.clone(),
@@ -178,8 +178,8 @@
             }
             None => None,
         };
-        let table = keeper.snapshot;
-        let table_changes = keeper.changes;
+        let table = started_table.snapshot;
+        let table_changes = started_table.changes;
         let leaving_machines = LeavingMachines::default();
         let membership = peers.as_ref().map(|peers| peers.membership.clone());
         let following = follow_machines(&settings, leaving_machines.clone(), membership);
--- a/crates/linkhold/src/peer/membership_actor.rs
+++ b/crates/linkhold/src/peer/membership_actor.rs
@@ -24,7 +24,7 @@
 use super::{MemberSnapshot, PeerContext};
 use crate::log_event::{Event, EventName};
 use crate::metrics::{Metrics, count};
-use crate::table_keeper::{GetAnnouncement, PeerAnnounced, PeerResponded, TableKeeper};
+use crate::table_actor::{GetAnnouncement, PeerAnnounced, PeerResponded, TableActor};
 
 /// How often time is passed to the state machine; far below its periods.
 const TICK: Duration = Duration::from_millis(50);
@@ -41,7 +41,7 @@
     key: PeerKey,
     members: MemberSnapshot,
     is_reader: Arc<AtomicBool>,
-    keeper: ActorRef<TableKeeper>,
+    table_actor: ActorRef<TableActor>,
     metrics: Arc<Metrics>,
 }
 
@@ -91,7 +91,7 @@
         key,
         members: context.members,
         is_reader: context.is_reader,
-        keeper: context.keeper,
+        table_actor: context.table_actor,
         metrics: context.metrics,
     };
     owner.publish();
@@ -178,14 +178,14 @@
 
     /// Fetches a newer table in the background.
     fn fetch_table(&self, from: SocketAddr, request: TableRequest) {
-        let keeper = self.keeper.clone();
+        let table_actor = self.table_actor.clone();
         let key = self.key.clone();
         tokio::spawn(async move {
             let Some(response) = fetch(from, request, &key).await else {
                 return;
             };
             // The owner is gone only when the node ends.
-            let _ = keeper.tell(PeerResponded(response)).await;
+            let _ = table_actor.tell(PeerResponded(response)).await;
         });
     }
 }
@@ -221,7 +221,7 @@
             from: message.from.address,
             announcement: message.announcement,
         };
-        if let Ok(Some((from, request))) = self.keeper.ask(announced).await {
+        if let Ok(Some((from, request))) = self.table_actor.ask(announced).await {
             self.fetch_table(from, request);
         }
     }
@@ -231,7 +231,7 @@
     type Reply = ();
 
     async fn handle(&mut self, _: TableChanged, _: &mut Context<Self, Self::Reply>) {
-        if let Ok(announcement) = self.keeper.ask(GetAnnouncement).await {
+        if let Ok(announcement) = self.table_actor.ask(GetAnnouncement).await {
             self.membership.announce(announcement);
         }
     }
--- a/crates/linkhold/src/peer/mod.rs
+++ b/crates/linkhold/src/peer/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::metrics::Metrics;
 use crate::settings::{PeerSettings, Settings};
-use crate::table_keeper::TableKeeper;
+use crate::table_actor::TableActor;
 pub use membership_actor::{AddSeeds, Leave, MembershipActor, state_name};
 
 /// Members as a node sees them, itself first; readable without waiting.
@@ -79,7 +79,7 @@
     /// Where the node serves callers.
     pub client_address: SocketAddr,
     /// Owner of the table.
-    pub keeper: ActorRef<TableKeeper>,
+    pub table_actor: ActorRef<TableActor>,
     /// Versions as they come into force.
     pub table_changes: watch::Receiver<u64>,
     /// Members, for others to read.
@@ -98,7 +98,7 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(table_exchange::serve(
             sockets.streams,
-            context.keeper.clone(),
+            context.table_actor.clone(),
             key.clone(),
         ));
         let membership = membership_actor::start(socket, sockets.address, context, key, &mut tasks);
--- a/crates/linkhold/src/peer/table_exchange.rs
+++ b/crates/linkhold/src/peer/table_exchange.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-use crate::table_keeper::{PeerRequested, TableKeeper};
+use crate::table_actor::{PeerRequested, TableActor};
 
 /// Longest time an exchange may take.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -20,7 +20,7 @@
 const MAX_SERVED: usize = 64;
 
 /// Serves requests until its task is dropped.
-pub async fn serve(listener: TcpListener, keeper: ActorRef<TableKeeper>, key: PeerKey) {
+pub async fn serve(listener: TcpListener, table_actor: ActorRef<TableActor>, key: PeerKey) {
     let mut exchanges = JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -30,7 +30,7 @@
         if exchanges.len() >= MAX_SERVED {
             continue;
         }
-        let serving = serve_one(stream, keeper.clone(), key.clone());
+        let serving = serve_one(stream, table_actor.clone(), key.clone());
         exchanges.spawn(async move {
             // A request that fails is made again by the node that needs it.
             let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, serving).await;
@@ -40,14 +40,14 @@
 
 async fn serve_one(
     mut stream: TcpStream,
-    keeper: ActorRef<TableKeeper>,
+    table_actor: ActorRef<TableActor>,
     key: PeerKey,
 ) -> Option<()> {
     let bytes = read_message(&mut stream, MAX_REQUEST).await?;
     let Ok(TableMessage::Request(request)) = decode_table(&bytes, &key) else {
         return None;
     };
-    let response = keeper.ask(PeerRequested(request)).await.ok()?;
+    let response = table_actor.ask(PeerRequested(request)).await.ok()?;
     let answer = encode_table(TableMessage::Response(response), &key);
     write_message(&mut stream, &answer).await
 }
--- a/crates/linkhold/src/table_keeper.rs
+++ b/crates/linkhold/src/table_actor.rs
@@ -58,7 +58,7 @@
 
 /// Owns the table of a node.
 #[derive(Actor)]
-pub struct TableKeeper {
+pub struct TableActor {
     spread: TableSpread,
     started: Instant,
     snapshot: TableSnapshot,
@@ -102,19 +102,19 @@
 /// Asks what this node announces.
 pub struct GetAnnouncement;
 
-/// A started keeper.
-pub struct StartedKeeper {
+/// A started table actor.
+pub struct StartedTableActor {
     /// The actor.
-    pub actor: ActorRef<TableKeeper>,
+    pub actor: ActorRef<TableActor>,
     /// The table in force.
     pub snapshot: TableSnapshot,
     /// Versions as they come into force.
     pub changes: watch::Receiver<u64>,
 }
 
-impl TableKeeper {
+impl TableActor {
     /// Starts the actor.
-    pub fn start() -> StartedKeeper {
+    pub fn start() -> StartedTableActor {
         let snapshot = TableSnapshot::default();
         let (changed, changes) = watch::channel(0);
         let actor = Self::spawn(Self {
@@ -125,7 +125,7 @@
             refused_version: 0,
             source_reachable: true,
         });
-        StartedKeeper {
+        StartedTableActor {
             actor,
             snapshot,
             changes,
@@ -201,7 +201,7 @@
     }
 }
 
-impl Message<VersionRead> for TableKeeper {
+impl Message<VersionRead> for TableActor {
     type Reply = ();
 
     async fn handle(&mut self, message: VersionRead, _: &mut Context<Self, Self::Reply>) {
@@ -213,7 +213,7 @@
     }
 }
 
-impl Message<SourceAnswered> for TableKeeper {
+impl Message<SourceAnswered> for TableActor {
     type Reply = ();
 
     async fn handle(&mut self, _: SourceAnswered, _: &mut Context<Self, Self::Reply>) {
@@ -221,7 +221,7 @@
     }
 }
 
-impl Message<SourceFailed> for TableKeeper {
+impl Message<SourceFailed> for TableActor {
     type Reply = ();
 
     async fn handle(&mut self, message: SourceFailed, _: &mut Context<Self, Self::Reply>) {
@@ -229,7 +229,7 @@
     }
 }
 
-impl Message<PeerAnnounced> for TableKeeper {
+impl Message<PeerAnnounced> for TableActor {
     type Reply = Option<(SocketAddr, TableRequest)>;
 
     async fn handle(
@@ -248,7 +248,7 @@
     }
 }
 
-impl Message<PeerRequested> for TableKeeper {
+impl Message<PeerRequested> for TableActor {
     type Reply = Result<TableResponse, Infallible>;
 
     async fn handle(
@@ -260,7 +260,7 @@
     }
 }
 
-impl Message<PeerResponded> for TableKeeper {
+impl Message<PeerResponded> for TableActor {
     type Reply = ();
 
     async fn handle(&mut self, message: PeerResponded, _: &mut Context<Self, Self::Reply>) {
@@ -268,7 +268,7 @@
     }
 }
 
-impl Message<GetAnnouncement> for TableKeeper {
+impl Message<GetAnnouncement> for TableActor {
     type Reply = Result<Announcement, Infallible>;
 
     async fn handle(
@@ -285,7 +285,7 @@
 pub async fn read_source(
     source: TableSource,
     poll: Duration,
-    keeper: ActorRef<TableKeeper>,
+    table_actor: ActorRef<TableActor>,
     snapshot: TableSnapshot,
     is_reader: Arc<AtomicBool>,
 ) {
@@ -299,7 +299,7 @@
                 let reads = is_reader.load(Ordering::Relaxed) || has_none || fallback_due;
                 if reads {
                     last_read = Some(Instant::now());
-                    if !read_platform(&client, &keeper, snapshot.load().version).await {
+                    if !read_platform(&client, &table_actor, snapshot.load().version).await {
                         return;
                     }
                 }
@@ -311,13 +311,16 @@
             let mut last_body = None;
             loop {
                 let delivered = match tokio::fs::read_to_string(&path).await {
-                    Ok(body) if last_body.as_ref() == Some(&body) => keeper.is_alive(),
+                    Ok(body) if last_body.as_ref() == Some(&body) => table_actor.is_alive(),
                     Ok(body) => {
                         version += 1;
                         last_body = Some(body.clone());
-                        keeper.tell(VersionRead { version, body }).await.is_ok()
+                        table_actor
+                            .tell(VersionRead { version, body })
+                            .await
+                            .is_ok()
                     }
-                    Err(error) => tell_failure(&keeper, error.to_string()).await,
+                    Err(error) => tell_failure(&table_actor, error.to_string()).await,
                 };
                 if !delivered {
                     return;
@@ -330,7 +333,7 @@
 
 async fn read_platform(
     client: &PlatformClient,
-    keeper: &ActorRef<TableKeeper>,
+    table_actor: &ActorRef<TableActor>,
     known: u64,
 ) -> bool {
     match client.read_newer(known).await {
@@ -339,13 +342,13 @@
                 version: table.version,
                 body: table.body,
             };
-            keeper.tell(message).await.is_ok()
+            table_actor.tell(message).await.is_ok()
         }
-        Ok(None) => keeper.tell(SourceAnswered).await.is_ok(),
-        Err(error) => tell_failure(keeper, error.to_string()).await,
+        Ok(None) => table_actor.tell(SourceAnswered).await.is_ok(),
+        Err(error) => tell_failure(table_actor, error.to_string()).await,
     }
 }
 
-async fn tell_failure(keeper: &ActorRef<TableKeeper>, reason: String) -> bool {
-    keeper.tell(SourceFailed { reason }).await.is_ok()
+async fn tell_failure(table_actor: &ActorRef<TableActor>, reason: String) -> bool {
+    table_actor.tell(SourceFailed { reason }).await.is_ok()
 }
