--- a/crates/linkhold/src/backend/connection.rs
+++ b/crates/linkhold/src/backend/connection.rs
@@ -19,10 +19,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Prepared statements kept on one connection; older ones are closed.
+/// Prepared statements kept on one connection; beyond this, the oldest is closed.
 pub const MAX_PREPARED: usize = 256;
 
-/// What can go wrong with a back end.
+/// Why an operation on a back end failed.
 #[derive(Debug, Error)]
 pub enum BackendError {
     /// The connection failed or a message was malformed.
@@ -34,13 +34,13 @@
     /// The back end did not answer in time.
     #[error("the back end did not answer in time")]
     TimedOut,
-    /// The node's share of the connection limit is in use.
-    #[error("no connection is left within the limit")]
+    /// The node's share of the connection limit is used up.
+    #[error("the connection limit of this node is reached")]
     LimitReached,
     /// The back end refused with an error.
     #[error("{}: {}", .0.code, .0.message)]
     Refused(ErrorFields),
-    /// The back end sent what the protocol does not allow here.
+    /// The back end sent a message that the protocol does not allow here.
     #[error("unexpected {0} from the back end")]
     Protocol(&'static str),
 }
@@ -51,20 +51,20 @@
     }
 }
 
-/// What a cancel request needs.
+/// Address and key of a cancel request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelKey {
     /// Where to send it.
     pub address: SocketAddr,
-    /// Process of the back end.
+    /// Process id of the back end.
     pub process: i32,
-    /// Its secret.
+    /// Secret key of the back end.
     pub secret: i32,
 }
 
 impl CancelKey {
-    /// Sends a cancel request. Errors are of no use: the protocol gives no
-    /// answer either way.
+    /// Sends a cancel request. Ignores errors, because the protocol sends no answer
+    /// in any case.
     pub async fn send(self) {
         let Ok(mut stream) = TcpStream::connect(self.address).await else {
             return;
@@ -73,16 +73,16 @@
         let mut buffer = BytesMut::new();
         if request.encode(&mut buffer).is_ok() {
             let _ = stream.write_all(&buffer).await;
-            // The back end closes when it has read the request.
+            // The back end closes the connection once it has read the request.
             let _ = tokio::io::AsyncReadExt::read_u8(&mut stream).await;
         }
     }
 }
 
-/// Settings a session wants on its connection.
+/// Settings that a session requires on its connection.
 pub type SessionSettings = BTreeMap<String, String>;
 
-/// A connection to a back end that has been started up.
+/// A connection to a back end, after start-up.
 pub struct BackendConnection {
     /// The socket.
     pub stream: TcpStream,
@@ -92,16 +92,16 @@
     pub cancel_key: CancelKey,
     /// Parameters the back end reported at the start.
     pub parameters: Vec<(String, String)>,
-    /// Names of statements prepared here.
+    /// Names of statements prepared on the connection.
     pub prepared: HashSet<String>,
     /// The same names, oldest first.
     pub prepared_order: VecDeque<String>,
-    /// Settings in force, or `None` when they are not known.
+    /// Settings in force, or `None` if they are unknown.
     pub settings: Option<SessionSettings>,
     timeout: Duration,
 }
 
-/// Whom and where to connect.
+/// Address, database and user of a connection.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Address to dial.
@@ -113,7 +113,7 @@
 }
 
 impl BackendConnection {
-    /// Connects and starts up.
+    /// Connects and completes the start-up.
     pub async fn connect(target: &Target, timeout: Duration) -> Result<Self, BackendError> {
         let stream = TcpStream::connect(target.address).await?;
         stream.set_nodelay(true)?;
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Next frame, or an error after the statement time-out.
+    /// Reads the next frame. Fails after the statement time-out.
     pub async fn next_frame(&mut self) -> Result<Frame, BackendError> {
         let next = self.reader.next(&mut self.stream);
         match tokio::time::timeout(self.timeout, next).await {
@@ -194,15 +194,14 @@
         }
     }
 
-    /// Whether the connection is idle and alive, as far as can be seen
-    /// without waiting. Asks the socket only if something has happened to it
-    /// since it was last read.
+    /// Whether the connection is idle and open, as far as can be determined without
+    /// waiting. Reads the socket only if it has become readable since the last read.
     pub fn is_reusable(&self) -> bool {
         if !self.reader.is_empty() {
             return false;
         }
-        let nothing_happened = self.stream.readable().now_or_never().is_none();
-        if nothing_happened {
+        let nothing_to_read = self.stream.readable().now_or_never().is_none();
+        if nothing_to_read {
             return true;
         }
         let mut byte = [0];
@@ -210,7 +209,7 @@
         matches!(read, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Runs a simple query and returns its rows, reading to the end.
+    /// Runs a simple query and returns its complete result.
     pub async fn query_rows(&mut self, text: &str) -> Result<QueryResult, BackendError> {
         let mut buffer = BytesMut::new();
         put_query(&mut buffer, text);
@@ -231,7 +230,8 @@
         }
     }
 
-    /// Runs a simple query whose error, if any, is an error of the call.
+    /// Runs a simple query. An error that the back end reports becomes
+    /// [`BackendError::Refused`].
     pub async fn execute(&mut self, text: &str) -> Result<QueryResult, BackendError> {
         let result = self.query_rows(text).await?;
         match result.error {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// First value of the first row of a query.
+    /// Runs a simple query and returns the first value of its first row.
     pub async fn query_value(&mut self, text: &str) -> Result<String, BackendError> {
         let result = self.execute(text).await?;
         result
@@ -248,8 +248,8 @@
             .ok_or(BackendError::Protocol("empty result"))
     }
 
-    /// Brings the connection's settings to those of a session.
-    pub async fn adopt_settings(&mut self, wanted: &SessionSettings) -> Result<(), BackendError> {
+    /// Sets the connection's settings to those of a session.
+    pub async fn apply_settings(&mut self, wanted: &SessionSettings) -> Result<(), BackendError> {
         if self.settings.as_ref() == Some(wanted) {
             return Ok(());
         }
@@ -265,12 +265,12 @@
     }
 }
 
-/// Result of a simple query run by the node itself.
+/// Result of a simple query that the node runs itself.
 #[derive(Debug, Default)]
 pub struct QueryResult {
     /// Rows; `None` is null.
     pub rows: Vec<Vec<Option<Vec<u8>>>>,
-    /// The error, if one was sent.
+    /// The error that the back end reported, if any.
     pub error: Option<ErrorFields>,
     /// Tag of the last completed statement.
     pub tag: Option<String>,
--- a/crates/linkhold/src/backend/pool.rs
+++ b/crates/linkhold/src/backend/pool.rs
@@ -51,11 +51,11 @@
         }
     }
 
-    /// Takes an idle connection, or makes one within the limit. Waits while
-    /// the limit is in use.
+    /// Takes an idle connection, or opens one within the limit. Waits while the
+    /// limit is used up, and fails after the connect time-out.
     ///
-    /// A connection is made only while holding a permit and with none idle,
-    /// so lent and idle connections together never exceed the limit.
+    /// A connection is opened only while holding a permit and with none idle, so
+    /// connections in use and idle ones together never exceed the limit.
     pub async fn take(&self) -> Result<PooledConnection, BackendError> {
         let waiting = self.shared.permits.clone().acquire_owned();
         let timeout = self.shared.settings.connect_timeout;
@@ -74,13 +74,13 @@
         })
     }
 
-    /// A connection that does not count against the pool's limit; the share
-    /// leaves room for it.
+    /// Opens a connection that does not count against the pool's limit: the limit
+    /// is set lower than the node's share to leave room for it.
     pub async fn connect_for_probe(&self) -> Result<BackendConnection, BackendError> {
         self.connect().await
     }
 
-    /// Makes connections in the background until this many are idle.
+    /// Opens a connection in the background if fewer than `wanted` are idle.
     pub fn keep_warm(&self, wanted: usize) {
         let pool = self.clone();
         if self.idle().len() >= wanted {
@@ -101,8 +101,8 @@
         self.idle().clear();
     }
 
-    /// Changes the limit. Connections beyond a lowered limit are closed as
-    /// they come back.
+    /// Changes the limit. Connections beyond a lowered limit are closed when they
+    /// are returned.
     pub fn set_limit(&self, limit: usize) {
         let mut current = self.shared.limit.lock().expect("no panic while held");
         if limit > *current {
@@ -113,13 +113,13 @@
         *current = limit;
     }
 
-    /// Idle connections now.
+    /// Number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.idle().len()
     }
 
-    /// Connections lent to sessions now.
-    pub fn lent_count(&self) -> usize {
+    /// Number of connections in use.
+    pub fn in_use_count(&self) -> usize {
         self.limit()
             .saturating_sub(self.shared.permits.available_permits())
     }
@@ -129,12 +129,12 @@
         *self.shared.limit.lock().expect("no panic while held")
     }
 
-    /// Version the back end reported, once there has been a connection.
+    /// Version that the back end reported; `None` before the first connection.
     pub fn server_version(&self) -> Option<&str> {
         self.shared.server_version.get().map(String::as_str)
     }
 
-    /// Address that is dialled.
+    /// Address that the pool connects to.
     pub fn address(&self) -> SocketAddr {
         self.shared.target.address
     }
@@ -177,18 +177,18 @@
                 .log();
         }
         if let Ok(connection) = &result {
-            self.note_version(connection);
+            self.record_version(connection);
         }
         result
     }
 
-    fn note_version(&self, connection: &BackendConnection) {
+    fn record_version(&self, connection: &BackendConnection) {
         let version = connection
             .parameters
             .iter()
             .find(|(name, _)| name == "server_version");
         if let Some((_, version)) = version {
-            // The first connection's version stays.
+            // The version that the first connection reported is kept.
             let _ = self.shared.server_version.set(version.clone());
         }
     }
@@ -198,13 +198,13 @@
     }
 }
 
-/// A connection lent to one session.
+/// A connection in use by one session.
 ///
 /// # Invariant
 ///
-/// It goes back to the pool only by [`PooledConnection::give_back`], which is
-/// called after a ReadyForQuery in idle state. Dropped in any other state the
-/// connection is closed, so that nothing of one session reaches the next.
+/// The connection returns to the pool only by [`PooledConnection::return_to_pool`], which
+/// is called after a ReadyForQuery in idle state. If dropped without that call, the
+/// connection is closed, so that no state of one session reaches the next.
 pub struct PooledConnection {
     connection: Option<BackendConnection>,
     pool: Pool,
@@ -212,9 +212,9 @@
 }
 
 impl PooledConnection {
-    /// Returns the connection to its pool, or closes it if the limit has been
-    /// lowered in the meantime.
-    pub fn give_back(mut self) {
+    /// Returns the connection to its pool, or closes it if the pool is full because
+    /// the limit has been lowered.
+    pub fn return_to_pool(mut self) {
         let Some(connection) = self.connection.take() else {
             return;
         };
@@ -229,12 +229,12 @@
     type Target = BackendConnection;
 
     fn deref(&self) -> &BackendConnection {
-        self.connection.as_ref().expect("present until given back")
+        self.connection.as_ref().expect("present until returned")
     }
 }
 
 impl DerefMut for PooledConnection {
     fn deref_mut(&mut self) -> &mut BackendConnection {
-        self.connection.as_mut().expect("present until given back")
+        self.connection.as_mut().expect("present until returned")
     }
 }
--- a/crates/linkhold/src/console.rs
+++ b/crates/linkhold/src/console.rs
@@ -126,12 +126,12 @@
     let mut rows = Vec::new();
     for (name, group) in node.directory.snapshot().iter() {
         for instance in &group.instances {
-            let (in_use, waiting) = instance.load();
+            let (in_use, waiting) = instance.usage();
             rows.push(vec![
                 name.clone(),
                 instance.name.clone(),
                 instance.pool.address().to_string(),
-                instance.pool.lent_count().to_string(),
+                instance.pool.in_use_count().to_string(),
                 instance.pool.idle_count().to_string(),
                 instance.pool.limit().to_string(),
                 in_use.to_string(),
--- a/crates/linkhold/src/group/directory.rs
+++ b/crates/linkhold/src/group/directory.rs
@@ -1,4 +1,4 @@
-//! All databases of the table in force, by name.
+//! The databases of the table in force, by name.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,15 +16,15 @@
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 
-/// Requests of a class that may wait for a slot, for each slot.
+/// Requests of an access class that may wait for a slot, per slot of the instance.
 const QUEUE_PER_SLOT: usize = 16;
-/// Connections an instance's probe takes out of the node's share.
+/// Connections of the node's share that are set aside for an instance's probe.
 const PROBE_CONNECTIONS: usize = 1;
 
 /// Databases by name.
 pub type DirectorySnapshot = Arc<BTreeMap<String, Arc<GroupHandle>>>;
 
-/// Turns table versions into running groups.
+/// Starts and updates a group for each database of the table.
 pub struct Directory {
     settings: Arc<Settings>,
     metrics: Arc<Metrics>,
@@ -47,18 +47,18 @@
         }
     }
 
-    /// The databases now.
+    /// The current databases.
     pub fn snapshot(&self) -> DirectorySnapshot {
         self.databases.load_full()
     }
 
-    /// The handle of one database.
+    /// The handle of one database; `None` if the table does not have it.
     pub fn get(&self, database: &str) -> Option<Arc<GroupHandle>> {
         self.databases.load().get(database).cloned()
     }
 
-    /// Puts a topology in force. Groups whose instances stay the same keep
-    /// their connections and views; only their limits change.
+    /// Puts a topology in force. A group whose instances stay the same keeps its
+    /// connections and view; only its limits and instance states change.
     pub fn apply(&self, topology: &Topology) {
         let known = self.databases.load_full();
         let databases = topology
@@ -86,12 +86,12 @@
             running.set_limits(self.slot_limits(instance));
             running.pool.set_limit(self.connection_share(instance));
             if before.instances[index].state != instance.state {
-                self.change_state(row, instance, running);
+                self.apply_state_change(row, instance, running);
             }
         }
     }
 
-    fn change_state(&self, row: &Database, instance: &Instance, running: &InstanceHandle) {
+    fn apply_state_change(&self, row: &Database, instance: &Instance, running: &InstanceHandle) {
         let state = match instance.state {
             BackendState::Active => "active",
             BackendState::Leaving => "leaving",
@@ -123,7 +123,7 @@
 
     fn start_instance(&self, row: &Database, instance: &Instance) -> InstanceHandle {
         let pool = Pool::new(
-            self.dialled_address(instance.address),
+            self.dial_address(instance.address),
             row.name.clone(),
             self.connection_share(instance),
             self.settings.clone(),
@@ -131,7 +131,7 @@
         InstanceHandle::new(instance.name.clone(), pool, self.slot_limits(instance))
     }
 
-    fn dialled_address(&self, address: SocketAddr) -> SocketAddr {
+    fn dial_address(&self, address: SocketAddr) -> SocketAddr {
         let mapped = self.settings.address_map.get(&address);
         mapped.copied().unwrap_or(address)
     }
@@ -151,7 +151,7 @@
         share.saturating_sub(PROBE_CONNECTIONS).max(1)
     }
 
-    /// This node's part of a limit that holds for the fleet.
+    /// This node's share of a limit that applies to the whole fleet.
     fn share(&self, limit: u32) -> usize {
         (limit / self.settings.fleet_size).max(1) as usize
     }
--- a/crates/linkhold/src/group/handle.rs
+++ b/crates/linkhold/src/group/handle.rs
@@ -1,4 +1,4 @@
-//! Handle of one database: what the path of a statement needs.
+//! Handle of one database, through which sessions run statements.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,10 +26,10 @@
 const SECONDS_PER_HOUR: u64 = 3_600;
 const HOURS_PER_DAY: u64 = 24;
 
-/// The counter that probe tags are drawn from, and what is asked of it.
+/// The counter that issues probe tags, and the newest tag that requests demand.
 ///
-/// A request notes the counter when it arrives and demands a probe that is
-/// sent later. All requests that arrive before a probe is sent share it.
+/// A request reads the counter when it arrives and demands a probe that is sent
+/// later. All requests that arrive before a probe is sent share that probe.
 #[derive(Debug, Default)]
 pub struct ProbeDemand {
     counter: AtomicU64,
@@ -38,17 +38,17 @@
 }
 
 impl ProbeDemand {
-    /// The counter now: answers with a greater tag were asked later.
-    pub fn now(&self) -> ProbeTag {
+    /// The newest tag issued. A probe with a greater tag is sent after this call.
+    pub fn current_tag(&self) -> ProbeTag {
         ProbeTag(self.counter.load(Ordering::SeqCst))
     }
 
-    /// Draws the tag of a probe about to be sent.
-    pub fn draw(&self) -> ProbeTag {
+    /// Issues the tag of a probe that is about to be sent.
+    pub fn next_tag(&self) -> ProbeTag {
         ProbeTag(self.counter.fetch_add(1, Ordering::SeqCst) + 1)
     }
 
-    /// Asks every instance for an answer with a tag greater than `after`.
+    /// Demands from every instance an answer with a tag greater than `after`.
     pub fn demand_after(&self, after: ProbeTag) {
         let before = self.demanded.fetch_max(after.0 + 1, Ordering::SeqCst);
         if before <= after.0 {
@@ -72,7 +72,7 @@
 
 /// A database with its instances and its view.
 pub struct GroupHandle {
-    /// Row of the database; replaced when the table changes limits.
+    /// Row of the database; replaced when the table changes limits or states.
     pub row: ArcSwap<Database>,
     /// Instances, in table order.
     pub instances: Vec<Arc<InstanceHandle>>,
@@ -88,7 +88,7 @@
 }
 
 impl GroupHandle {
-    /// Starts the view's owner and a probe loop for each instance.
+    /// Starts the actor that owns the view, and a probe loop for each instance.
     pub fn start(
         row: Database,
         instances: Vec<Arc<InstanceHandle>>,
@@ -140,23 +140,24 @@
         self.view.borrow().clone()
     }
 
-    /// The probe counter now.
-    pub fn now(&self) -> ProbeTag {
-        self.demand.now()
+    /// The newest probe tag issued.
+    pub fn current_tag(&self) -> ProbeTag {
+        self.demand.current_tag()
     }
 
-    /// Tells that an instance failed a request, so that the view is renewed
-    /// at once and not at the next poll.
+    /// Reports that an instance failed a request, so that the view is refreshed at
+    /// once and not at the next poll.
     pub async fn suspect(&self, instance: InstanceIndex) {
         if self.detection == Detection::PollOnly {
             return;
         }
-        // The owner is gone only when the handle is being dropped.
+        // The actor stops only when the handle is dropped.
         let _ = self.actor.tell(ProbeFailed { instance }).await;
-        self.demand.demand_after(self.demand.now());
+        self.demand.demand_after(self.demand.current_tag());
     }
 
-    /// Waits for a primary that `check` accepts, as [`GroupHandle::wait_for`].
+    /// Waits for a primary that `check` accepts, as [`GroupHandle::wait_for`] does.
+    /// Demands no answers if detection is [`Detection::PollOnly`].
     pub async fn wait_for_primary(
         &self,
         since: ProbeTag,
@@ -172,9 +173,9 @@
         found.primary()
     }
 
-    /// Waits until `check` finds what it looks for in a view, or the deadline.
-    /// Answers newer than `since` are demanded at once, and again after each
-    /// short pause for as long as the wait goes on.
+    /// Waits until `check` returns a value for a view; returns `None` at the
+    /// deadline. Demands answers newer than `since` at once, and new answers after
+    /// each [`POLL_PAUSE`] of the wait.
     pub async fn wait_for<T>(
         &self,
         since: ProbeTag,
@@ -199,36 +200,37 @@
                     if Instant::now() >= deadline {
                         return None;
                     }
-                    self.demand.demand_after(self.demand.now());
+                    self.demand.demand_after(self.demand.current_tag());
                     next_poll = Instant::now() + POLL_PAUSE;
                 }
             }
         }
     }
 
-    /// Keeps other requests from sharing the next round; only to measure what
-    /// sharing saves.
-    pub async fn own_round(&self) -> MutexGuard<'_, ()> {
+    /// Locks out other requests, so that each uses a round of probes of its own.
+    /// Serves only to measure what sharing rounds saves.
+    pub async fn lock_unshared_round(&self) -> MutexGuard<'_, ()> {
         self.unshared_round.lock().await
     }
 
-    /// A confirmed primary that takes new work.
+    /// The confirmed primary, if it accepts new work.
     pub fn usable_primary(&self, view: &GroupView) -> Option<ConfirmedPrimary> {
         view.primary()
             .filter(|primary| self.accepts_work(primary.instance))
     }
 
-    /// Whether the table and the platform let new work go to the instance.
+    /// Whether neither the table nor the platform's machine list marks the instance
+    /// as leaving.
     pub fn accepts_work(&self, instance: InstanceIndex) -> bool {
-        self.lets_work_go_to(&self.row.load().instances[instance])
+        self.is_accepting_work(&self.row.load().instances[instance])
     }
 
-    fn lets_work_go_to(&self, instance: &Instance) -> bool {
+    fn is_accepting_work(&self, instance: &Instance) -> bool {
         instance.state == BackendState::Active
             && !self.leaving_machines.load().contains(&instance.address)
     }
 
-    /// Picks an instance for a read.
+    /// Chooses an instance for a read; `None` if no instance can serve it now.
     pub fn choose(
         &self,
         view: &GroupView,
@@ -238,7 +240,7 @@
         choose_for_read(view, &self.candidates(), required, scope, &mut rand::rng())
     }
 
-    /// Whether any replica could serve a read once it has caught up.
+    /// Whether any replica could serve a read once the replica has caught up.
     pub fn has_usable_replica(&self, view: &GroupView) -> bool {
         let nothing_required = Position::default();
         choose_for_read(
@@ -262,13 +264,13 @@
                 instance: index,
                 weight: instance.weight_at(hour),
                 local_zone: instance.zone == self.zone,
-                accepts_work: self.lets_work_go_to(instance),
+                accepts_work: self.is_accepting_work(instance),
                 has_room: handle.has_room_for_read(),
             })
             .collect()
     }
 
-    /// Hour of the day in UTC, with the offset for rehearsals.
+    /// Hour of the day in UTC, shifted by the offset for rehearsing a table.
     fn hour(&self) -> u8 {
         let seconds = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/linkhold/src/group/instance.rs
+++ b/crates/linkhold/src/group/instance.rs
@@ -27,7 +27,7 @@
     waiting: HashMap<Ticket, oneshot::Sender<()>>,
 }
 
-/// A slot in use; given back when dropped.
+/// A slot in use; released when dropped.
 pub struct SlotPermit {
     instance: Arc<InstanceHandle>,
     class: Access,
@@ -65,8 +65,8 @@
         self.slots().queue.has_room_for_read()
     }
 
-    /// Slots in use and requests waiting.
-    pub fn load(&self) -> (usize, usize) {
+    /// Number of slots in use and of requests waiting.
+    pub fn usage(&self) -> (usize, usize) {
         let slots = self.slots();
         (slots.queue.in_use(), slots.queue.waiting())
     }
@@ -77,7 +77,8 @@
         taken.then(|| self.permit(class))
     }
 
-    /// Takes a slot, waiting in the bounded queue until the deadline.
+    /// Takes a slot, waiting in the bounded queue until the deadline. Fails with
+    /// [`NotRun::Overloaded`] if the queue is full or the deadline passes.
     pub async fn acquire(
         self: &Arc<Self>,
         class: Access,
@@ -96,7 +97,7 @@
                 }
             }
         };
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             instance: self,
             class,
             ticket,
@@ -126,22 +127,22 @@
 fn wake(slots: &mut Slots, granted: Vec<Ticket>) {
     for ticket in granted {
         if let Some(sender) = slots.waiting.remove(&ticket) {
-            // A receiver that is gone gives the slot back in its own drop.
+            // If the receiver is gone, the drop of `QueuedRequest` releases the slot.
             let _ = sender.send(());
         }
     }
 }
 
-/// A queued request. Dropped without a grant it leaves the queue, or gives
-/// back the slot it was granted in the meantime.
-struct Waiting<'a> {
+/// A queued request. When dropped before it has received its grant, it leaves the
+/// queue, or releases the slot that was granted in the meantime.
+struct QueuedRequest<'a> {
     instance: &'a Arc<InstanceHandle>,
     class: Access,
     ticket: Ticket,
     granted: bool,
 }
 
-impl Waiting<'_> {
+impl QueuedRequest<'_> {
     async fn run(
         mut self,
         receiver: oneshot::Receiver<()>,
@@ -157,7 +158,7 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         if self.granted {
             return;
--- a/crates/linkhold/src/group/mod.rs
+++ b/crates/linkhold/src/group/mod.rs
@@ -1,5 +1,5 @@
-//! A database group as a node sees it: its view, its instances and the
-//! probing that keeps the view fresh.
+//! Database groups: each group's instances, its view, and the probes that keep
+//! the view fresh.
 
 mod directory;
 mod handle;
--- a/crates/linkhold/src/group/probe.rs
+++ b/crates/linkhold/src/group/probe.rs
@@ -1,4 +1,4 @@
-//! Probing of one instance, on a connection of its own.
+//! Probes one instance over a dedicated connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 /// First pause after a failed probe; doubles up to [`LONGEST_PAUSE`].
 const SHORTEST_PAUSE: Duration = Duration::from_millis(5);
 const LONGEST_PAUSE: Duration = Duration::from_millis(100);
-/// Idle connections kept to each instance, so that a new primary can be
-/// written to without waiting for a connection.
+/// Idle connections kept to each instance, so that the first write to a new primary
+/// does not wait for a connection.
 const WARM_CONNECTIONS: usize = 1;
 
-/// What a probe loop works with.
+/// Context of a probe loop.
 pub struct ProbeLoop {
     /// Index in the view.
     pub index: InstanceIndex,
     /// The instance.
     pub instance: Arc<InstanceHandle>,
-    /// When to probe.
+    /// Demand for probes.
     pub demand: Arc<ProbeDemand>,
-    /// Owner of the view.
+    /// Actor that owns the view.
     pub actor: ActorRef<ViewActor>,
     /// Time-outs and the status query.
     pub settings: Arc<Settings>,
@@ -37,14 +37,14 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// Probes on demand, and at the probe interval without one, until the view's
-/// owner is gone.
+/// Probes on demand, and at the probe interval if there is no demand, until the
+/// actor that owns the view has stopped.
 pub async fn run_probe_loop(probe_loop: ProbeLoop) {
     let mut connection = None;
     let mut last = ProbeTag::default();
     let mut pause = SHORTEST_PAUSE;
     loop {
-        let tag = probe_loop.demand.draw();
+        let tag = probe_loop.demand.next_tag();
         count(&probe_loop.metrics.probes);
         let delivered = match probe_loop.probe(&mut connection).await {
             Ok(status) => {
--- a/crates/linkhold/src/group/view_actor.rs
+++ b/crates/linkhold/src/group/view_actor.rs
@@ -1,5 +1,5 @@
-//! Owner of a group's view: takes probe results, publishes snapshots and
-//! reports every change.
+//! Actor that owns a group's view: records probe results, publishes snapshots and
+//! logs every change.
 
 use std::sync::Arc;
 
@@ -25,20 +25,20 @@
 pub struct ProbeAnswered {
     /// Which instance.
     pub instance: InstanceIndex,
-    /// Tag drawn when the probe was sent.
+    /// Tag issued when the probe was sent.
     pub tag: ProbeTag,
     /// What it reported.
     pub status: InstanceStatus,
 }
 
-/// An instance did not answer.
+/// An instance did not answer a probe, or failed a request.
 pub struct ProbeFailed {
     /// Which instance.
     pub instance: InstanceIndex,
 }
 
 impl ViewActor {
-    /// An owner for a group whose instances have not answered yet.
+    /// An actor for a group whose instances have not answered yet.
     pub fn new(
         database: String,
         instance_names: Vec<String>,
@@ -58,9 +58,9 @@
     fn publish(&self, changes: &[ViewChange]) {
         for change in changes {
             self.log(change);
-            // A newer term in any answer may mean a new primary: ask all now.
+            // A newer term in any answer may mean a new primary: probe all at once.
             if matches!(change, ViewChange::Term(_)) {
-                self.demand.demand_after(self.demand.now());
+                self.demand.demand_after(self.demand.current_tag());
             }
         }
         self.published.send_replace(Arc::new(self.view.clone()));
--- a/crates/linkhold/src/housekeeping.rs
+++ b/crates/linkhold/src/housekeeping.rs
@@ -78,7 +78,7 @@
     let result = connection
         .execute(&request_key::delete_expired(now))
         .await?;
-    connection.give_back();
+    connection.return_to_pool();
     // The tag is `DELETE count`.
     let count = result.tag.as_deref().and_then(|tag| tag.split(' ').nth(1));
     Ok(count.and_then(|word| word.parse().ok()).unwrap_or(0))
--- a/crates/linkhold/src/session/cancel.rs
+++ b/crates/linkhold/src/session/cancel.rs
@@ -1,9 +1,10 @@
 //! Cancel requests, which must reach only their own session's statement.
 //!
 //! A cancel request names a session of this node. If that session has a
-//! statement on a back end, the request is passed on there, and the back end
+//! statement on a back end, the request is forwarded there, and the back end
 //! connection is closed when the statement or transaction ends: a request
-//! still under way could otherwise hit the next session on that connection.
+//! still in transit could otherwise cancel a statement of the next session on
+//! that connection.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -14,46 +15,46 @@
 use crate::backend::CancelKey;
 
 /// Cancel state of one session.
-pub struct CancelSlot {
+pub struct CancelHandle {
     key: (i32, i32),
-    active: Mutex<Active>,
+    active: Mutex<ActiveStatement>,
     waiting: Notify,
 }
 
 #[derive(Default)]
-struct Active {
+struct ActiveStatement {
     backend: Option<CancelKey>,
     cancelled: bool,
 }
 
-impl CancelSlot {
-    /// Process and secret the caller was given.
+impl CancelHandle {
+    /// Process id and secret that were sent to the caller.
     pub fn key(&self) -> (i32, i32) {
         self.key
     }
 
-    /// A statement is about to be sent to this back end.
-    pub fn enter(&self, backend: CancelKey) {
-        *self.active() = Active {
+    /// Records that a statement is about to be sent to this back end.
+    pub fn start_statement(&self, backend: CancelKey) {
+        *self.active() = ActiveStatement {
             backend: Some(backend),
             cancelled: false,
         };
     }
 
-    /// The statement has ended. `true` if a cancel request was passed on, so
-    /// that the connection must not be used by another session.
-    pub fn leave(&self) -> bool {
+    /// Records that the statement has ended. Returns `true` if a cancel request was
+    /// forwarded, so that no other session may use the connection.
+    pub fn end_statement(&self) -> bool {
         let mut active = self.active();
         active.backend = None;
         active.cancelled
     }
 
-    /// Returns when a cancel request comes while nothing was sent yet.
+    /// Returns when a cancel request arrives while no statement is on a back end.
     pub async fn cancelled_while_waiting(&self) {
         self.waiting.notified().await;
     }
 
-    fn active(&self) -> MutexGuard<'_, Active> {
+    fn active(&self) -> MutexGuard<'_, ActiveStatement> {
         self.active.lock().expect("no panic while held")
     }
 }
@@ -61,51 +62,51 @@
 /// All sessions of a node that can be cancelled.
 #[derive(Default)]
 pub struct CancelRegistry {
-    slots: Mutex<HashMap<(i32, i32), Arc<CancelSlot>>>,
+    sessions: Mutex<HashMap<(i32, i32), Arc<CancelHandle>>>,
 }
 
 impl CancelRegistry {
-    /// A slot with a fresh random key.
-    pub fn register(&self) -> Arc<CancelSlot> {
-        let mut slots = self.slots();
+    /// Registers a session under a new random key.
+    pub fn register(&self) -> Arc<CancelHandle> {
+        let mut sessions = self.sessions();
         loop {
             let key = (rand::rng().random(), rand::rng().random());
-            if slots.contains_key(&key) {
+            if sessions.contains_key(&key) {
                 continue;
             }
-            let slot = Arc::new(CancelSlot {
+            let session = Arc::new(CancelHandle {
                 key,
                 active: Mutex::default(),
                 waiting: Notify::new(),
             });
-            slots.insert(key, slot.clone());
-            return slot;
+            sessions.insert(key, session.clone());
+            return session;
         }
     }
 
-    /// Forgets a session.
-    pub fn remove(&self, slot: &CancelSlot) {
-        self.slots().remove(&slot.key);
+    /// Removes a session.
+    pub fn remove(&self, session: &CancelHandle) {
+        self.sessions().remove(&session.key);
     }
 
-    /// Handles a cancel request. Requests with an unknown key do nothing, as
-    /// the protocol demands.
+    /// Handles a cancel request. Ignores requests with an unknown key, as the
+    /// protocol requires.
     pub async fn cancel(&self, key: (i32, i32)) {
-        let Some(slot) = self.slots().get(&key).cloned() else {
+        let Some(session) = self.sessions().get(&key).cloned() else {
             return;
         };
         let backend = {
-            let mut active = slot.active();
+            let mut active = session.active();
             active.cancelled |= active.backend.is_some();
             active.backend
         };
         match backend {
             Some(backend) => backend.send().await,
-            None => slot.waiting.notify_waiters(),
+            None => session.waiting.notify_waiters(),
         }
     }
 
-    fn slots(&self) -> MutexGuard<'_, HashMap<(i32, i32), Arc<CancelSlot>>> {
-        self.slots.lock().expect("no panic while held")
+    fn sessions(&self) -> MutexGuard<'_, HashMap<(i32, i32), Arc<CancelHandle>>> {
+        self.sessions.lock().expect("no panic while held")
     }
 }
--- a/crates/linkhold/src/session/exchange.rs
+++ b/crates/linkhold/src/session/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a back end: sends a unit and passes the answer on.
+//! One exchange with a back end: sends a unit and forwards the answer.
 
 use bytes::BytesMut;
 use linkhold_wire::frontend::put_sync;
@@ -11,23 +11,23 @@
 use super::plan::{Disposition, PreparedNames, ReplyPlan};
 use crate::backend::{BackendConnection, BackendError};
 
-/// Answer bytes gathered before they are sent to the caller. Together with
-/// the read buffer this bounds what a streamed result takes in the node.
+/// Answer bytes gathered before they are sent to the caller. Together with the
+/// read buffer this bounds the memory that a streamed result takes in the node.
 const FLUSH_THRESHOLD: usize = 32 * 1024;
-/// Room made for an answer at first.
+/// Initial capacity of an answer's buffer, in bytes.
 const SMALL_ANSWER: usize = 512;
-/// Answer bytes of a write that are held back; beyond this, rows that come
-/// before the first completion are streamed.
+/// Answer bytes of a write that are held back. Beyond this, rows that come before
+/// the first completion are streamed.
 const HOLD_THRESHOLD: usize = 256 * 1024;
-/// Most answer bytes held back at all.
-const MAX_HELD: usize = 16 * 1024 * 1024;
+/// Most answer bytes held back in all cases; more fail the exchange.
+const MAX_HELD_BYTES: usize = 16 * 1024 * 1024;
 
-/// What is done with the answer.
+/// When the answer is sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerPolicy {
-    /// Passed on as it comes.
+    /// As it arrives.
     Stream,
-    /// Held back until the commit is confirmed.
+    /// Once the commit is confirmed.
     Hold,
 }
 
@@ -38,7 +38,7 @@
     #[error(transparent)]
     Backend(#[from] BackendError),
     /// The caller's connection failed.
-    #[error("the caller is gone: {0}")]
+    #[error("the caller's connection failed: {0}")]
     Caller(std::io::Error),
 }
 
@@ -53,24 +53,25 @@
     pub error: Option<ErrorFields>,
     /// Tag of the last completed statement.
     pub last_tag: Option<String>,
-    /// A statement completed as `COMMIT`.
+    /// Whether a statement completed as `COMMIT`.
     pub saw_commit: bool,
-    /// The connection's record of statements is no longer right.
-    pub lost_track: bool,
+    /// Whether the connection's record of prepared statements is wrong, so that
+    /// the connection must be closed.
+    pub statements_out_of_sync: bool,
 }
 
-/// Runs one unit on a connection. `sent_to_caller` tells, also after a
-/// failure, whether part of the answer has reached the caller.
+/// Runs one unit on a connection.
 pub struct ExchangeRun<'a> {
     /// The back end.
     pub connection: &'a mut BackendConnection,
     /// The caller's socket.
     pub caller: &'a mut TcpStream,
-    /// What is done with the answer.
+    /// When the answer is sent to the caller.
     pub policy: AnswerPolicy,
-    /// Whether part of the answer has been sent.
+    /// Whether part of the answer has been sent to the caller. Also valid after a
+    /// failure.
     pub sent_to_caller: bool,
-    /// What the caller gets.
+    /// Bytes to send to the back end, and how to handle the replies.
     pub plan: ReplyPlan,
 }
 
@@ -83,12 +84,12 @@
             error: None,
             last_tag: None,
             saw_commit: false,
-            lost_track: false,
+            statements_out_of_sync: false,
         };
         let request = std::mem::take(&mut self.plan.request);
         let mut sent = 0;
         loop {
-            self.plan.put_due(&mut exchange.pending);
+            self.plan.put_synthesized(&mut exchange.pending);
             let all_answered = exchange.error.is_none() && self.plan.is_flushed();
             if all_answered && sent == request.len() {
                 break;
@@ -106,12 +107,13 @@
                 self.end_failed_flush().await?;
             }
         }
-        exchange.lost_track = self.plan.lost_track();
+        exchange.statements_out_of_sync = self.plan.statements_out_of_sync();
         Ok(exchange)
     }
 
-    /// After an error the back end skips messages up to a Sync. The node sends
-    /// it now, to learn the transaction status, and skips the caller's.
+    /// Sends a Sync. After an error the back end skips messages up to a Sync, so
+    /// the node sends its own at once to learn the transaction status, and skips
+    /// the caller's.
     async fn end_failed_flush(&mut self) -> Result<(), ExchangeError> {
         let mut sync = BytesMut::new();
         put_sync(&mut sync);
@@ -120,8 +122,9 @@
         Ok(())
     }
 
-    /// Next reply. Sends what is left of the request meanwhile, and passes
-    /// gathered answers on before waiting. `None` after progress in sending.
+    /// Reads the next reply. Meanwhile sends the rest of the request, and forwards
+    /// gathered answers before waiting. Returns `None` after part of the request
+    /// was sent.
     async fn next_frame(
         &mut self,
         request: &[u8],
@@ -135,11 +138,11 @@
             .map_err(BackendError::from)?
         {
             if exchange.pending.len() > FLUSH_THRESHOLD {
-                self.pass_on(exchange).await?;
+                self.forward_pending(exchange).await?;
             }
             return Ok(Some(frame));
         }
-        self.pass_on(exchange).await?;
+        self.forward_pending(exchange).await?;
         if *sent == request.len() {
             return Ok(Some(self.connection.next_frame().await?));
         }
@@ -185,21 +188,21 @@
         if for_caller {
             exchange.pending.extend_from_slice(frame.bytes());
         }
-        if exchange.pending.len() > MAX_HELD {
+        if exchange.pending.len() > MAX_HELD_BYTES {
             return Err(BackendError::Wire(WireError::Length(exchange.pending.len())).into());
         }
         Ok(())
     }
 
-    /// Sends gathered answer bytes, as far as the policy lets them go.
-    async fn pass_on(&mut self, exchange: &mut Exchange) -> Result<(), ExchangeError> {
-        let may_go = match self.policy {
+    /// Sends gathered answer bytes to the caller, if the policy allows it.
+    async fn forward_pending(&mut self, exchange: &mut Exchange) -> Result<(), ExchangeError> {
+        let may_forward = match self.policy {
             AnswerPolicy::Stream => !exchange.pending.is_empty(),
             AnswerPolicy::Hold => {
                 exchange.last_tag.is_none() && exchange.pending.len() > HOLD_THRESHOLD
             }
         };
-        if may_go {
+        if may_forward {
             self.sent_to_caller = true;
             let bytes = exchange.pending.split();
             self.caller
--- a/crates/linkhold/src/session/lease.rs
+++ b/crates/linkhold/src/session/lease.rs
@@ -14,8 +14,8 @@
 use crate::group::{GroupHandle, InstanceHandle, SlotPermit};
 use crate::settings::ReadPolicy;
 
-/// How long the pinning baseline keeps reads on the primary after a write.
-const PIN_TIME: std::time::Duration = std::time::Duration::from_secs(2);
+/// How long the pinning baseline sends reads to the primary after a write.
+const PIN_DURATION: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// Longest wait for the primary's own answer once a read falls back to it.
 const PRIMARY_ANSWER_WAIT: std::time::Duration = std::time::Duration::from_millis(100);
@@ -28,14 +28,15 @@
     pub instance: InstanceIndex,
     /// Term the instance was confirmed primary in; `None` for a read lease.
     pub term: Option<Term>,
-    /// Position reads on this lease reflect at least.
+    /// Lowest position that reads on this lease reflect.
     pub required: Position,
     /// Whether the instance was the primary when chosen.
     pub on_primary: bool,
-    /// Key that the open transaction records, if any.
+    /// Request key that the open transaction records, if any.
     pub request_key: Option<String>,
-    /// A cancel request may still be under way to this connection.
-    pub cancelled: bool,
+    /// Whether the connection must be closed when the lease ends: a cancel request
+    /// may still be in transit to it, or its state is unknown.
+    pub must_close: bool,
     connection: PooledConnection,
     _slot: SlotPermit,
 }
@@ -46,10 +47,11 @@
         &mut self.connection
     }
 
-    /// Ends the lease after a ReadyForQuery in idle state.
+    /// Ends the lease after a ReadyForQuery in idle state and returns the
+    /// connection to its pool, if it may be used again.
     pub fn finish(self) {
-        if !self.cancelled && self.group.accepts_work(self.instance) {
-            self.connection.give_back();
+        if !self.must_close && self.group.accepts_work(self.instance) {
+            self.connection.return_to_pool();
         }
     }
 
@@ -68,19 +70,19 @@
 }
 
 impl LeaseFinder<'_> {
-    /// A lease on the confirmed primary. Waits up to the row's write wait; no
-    /// byte has been sent when it fails.
+    /// Returns a lease on the confirmed primary. Waits up to the row's write
+    /// wait; when it fails, no byte has been sent.
     pub async fn for_write(&self) -> Result<Lease, NotRun> {
-        self.on_primary(ProbeTag::default()).await
+        self.lease_on_primary(ProbeTag::default()).await
     }
 
-    /// A lease on a primary confirmed after this call, for a transaction
+    /// Returns a lease on a primary confirmed after this call, for a transaction
     /// whose reads must reflect every acknowledged write.
     pub async fn for_transaction(&self) -> Result<Lease, NotRun> {
-        self.on_primary(self.group.now()).await
+        self.lease_on_primary(self.group.current_tag()).await
     }
 
-    async fn on_primary(&self, confirmed_after: ProbeTag) -> Result<Lease, NotRun> {
+    async fn lease_on_primary(&self, confirmed_after: ProbeTag) -> Result<Lease, NotRun> {
         let deadline = Instant::now() + self.group.row.load().write_wait;
         let mut since = confirmed_after;
         loop {
@@ -105,7 +107,7 @@
                 }
                 Err(error) if Instant::now() >= deadline => return Err(error),
                 Err(_) => {
-                    since = self.group.now();
+                    since = self.group.current_tag();
                     self.group.suspect(primary.instance).await;
                 }
             }
@@ -129,7 +131,8 @@
         (answered && followers >= view.majority()).then_some(primary)
     }
 
-    /// A lease on an instance fresh enough for a read of this session.
+    /// Returns a lease on an instance fresh enough for a read of this session.
+    /// Falls back to the primary if the instance chosen is `avoid`.
     pub async fn for_read(&self, avoid: Option<InstanceIndex>) -> Result<Lease, NotRun> {
         match self.policy {
             ReadPolicy::Fence => self.fresh_read(avoid).await,
@@ -138,7 +141,7 @@
                 let pinned = self
                     .state
                     .last_write
-                    .is_some_and(|written| written.elapsed() < PIN_TIME);
+                    .is_some_and(|written| written.elapsed() < PIN_DURATION);
                 let scope = if pinned {
                     ReadScope::Primary
                 } else {
@@ -149,11 +152,11 @@
         }
     }
 
-    /// A read of the baselines, which do not check freshness.
+    /// Returns a lease for a read of the baselines, which do not check freshness.
     async fn unchecked_read(&self, scope: ReadScope) -> Result<Lease, NotRun> {
         let row = self.group.row.load_full();
         let deadline = Instant::now() + row.read_wait.max(row.write_wait);
-        let since = self.group.now();
+        let since = self.group.current_tag();
         let choose = |view: &GroupView| self.group.choose(view, Position::default(), scope);
         let instance = self.group.wait_for(since, deadline, choose).await;
         let instance = instance.ok_or(NotRun::NoFreshInstance)?;
@@ -162,14 +165,14 @@
     }
 
     async fn fresh_read(&self, avoid: Option<InstanceIndex>) -> Result<Lease, NotRun> {
-        let since = self.group.now();
+        let since = self.group.current_tag();
         let deadline = Instant::now() + self.group.row.load().read_wait;
         let choose = |view: &GroupView| {
             let required = self.required(view, since)?;
             match self.group.choose(view, required, ReadScope::Replicas) {
                 Some(instance) if Some(instance) != avoid => Some(Some((instance, required))),
                 Some(_) => Some(None),
-                // Waiting cannot help if no replica could ever serve.
+                // Do not wait if no replica could serve even once caught up.
                 None if !self.group.has_usable_replica(view) => Some(None),
                 None => None,
             }
@@ -185,7 +188,8 @@
         self.primary_read(since).await
     }
 
-    /// The fallback: the primary, within the slots that reads may use there.
+    /// Returns a lease on the primary as the fallback, within the slots that reads
+    /// may use there.
     async fn primary_read(&self, since: ProbeTag) -> Result<Lease, NotRun> {
         let view = self.group.view();
         if self.required(&view, since).is_none() {
@@ -213,7 +217,7 @@
         Ok(lease)
     }
 
-    /// Position a read must reflect, once it can be told.
+    /// Position that a read must reflect; `None` while the fence is not known.
     fn required(&self, view: &GroupView, since: ProbeTag) -> Option<Position> {
         match self.state.freshness {
             Freshness::Token => Some(self.state.floor),
@@ -248,7 +252,7 @@
         let unavailable = |_| NotRun::BackendUnavailable;
         let mut connection = handle.pool.take().await.map_err(unavailable)?;
         connection
-            .adopt_settings(&self.state.settings)
+            .apply_settings(&self.state.settings)
             .await
             .map_err(unavailable)?;
         Ok(Lease {
@@ -258,7 +262,7 @@
             required: self.state.floor,
             on_primary: false,
             request_key: None,
-            cancelled: false,
+            must_close: false,
             connection,
             _slot: slot,
         })
--- a/crates/linkhold/src/session/local.rs
+++ b/crates/linkhold/src/session/local.rs
@@ -1,4 +1,4 @@
-//! Statements a node answers itself: linkhold's own settings, `DISCARD`,
+//! Statements that a node answers itself: linkhold's own settings, `DISCARD`,
 //! `DEALLOCATE` and empty queries.
 
 use bytes::BytesMut;
@@ -18,7 +18,7 @@
 const UNDEFINED_OBJECT: &str = "42704";
 const FAILED_TRANSACTION: &str = "25P02";
 
-/// What a node answers to a statement.
+/// A node's own answer to a statement.
 #[derive(Default)]
 pub(super) struct LocalAnswer {
     /// Name and value of the only row, for `SHOW`.
@@ -59,7 +59,7 @@
 }
 
 impl Session {
-    /// Answers the unit if it is one a node answers itself.
+    /// Answers the unit if a node answers it itself; otherwise returns `false`.
     pub(super) fn answer_locally(&mut self, unit: &Unit) -> bool {
         let in_batch = self.held.as_ref().is_some_and(|held| !held.in_transaction);
         if in_batch {
@@ -115,7 +115,7 @@
             "linkhold.token" => self.node.token_key.issue(&self.database, self.state.floor),
             "linkhold.node" => self.node.settings.node.clone(),
             "linkhold.repeatable" => on_or_off(self.state.repeatable).to_owned(),
-            "linkhold.access" => match self.state.stated_access {
+            "linkhold.access" => match self.state.declared_access {
                 None => "auto",
                 Some(Access::Read) => "read_only",
                 Some(Access::Write) => "read_write",
@@ -157,8 +157,8 @@
         }
     }
 
-    /// A transaction was lost with its connection: until the caller ends it,
-    /// every statement fails, as in PostgreSQL.
+    /// Answers a unit after the transaction was lost with its connection. Until the
+    /// caller ends the transaction, every statement fails, as in PostgreSQL.
     pub(super) fn answer_in_lost_transaction(&mut self, unit: &Unit) {
         let ends = matches!(
             unit.single_statement(),
@@ -202,7 +202,7 @@
     }
 }
 
-/// No statement at all, or a unit that only closes statements.
+/// Whether the unit has no statement, or only closes statements.
 fn is_empty_query(unit: &Unit) -> bool {
     match unit {
         Unit::Simple { classified, .. } => classified.statements.is_empty(),
@@ -235,7 +235,7 @@
             }
         },
         "linkhold.access" => {
-            state.stated_access = match value {
+            state.declared_access = match value {
                 None | Some("auto") => None,
                 Some("read_only") => Some(Access::Read),
                 Some("read_write") => Some(Access::Write),
@@ -267,8 +267,8 @@
     Ok(())
 }
 
-/// Position of a token. The empty token is that of a session that has not
-/// written yet.
+/// Verifies a token and returns its position. The empty token stands for a session
+/// that has not written yet. Fails if the token does not verify for this database.
 fn verified_position(
     node: &NodeShared,
     database: &str,
--- a/crates/linkhold/src/session/mod.rs
+++ b/crates/linkhold/src/session/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`run_session`] reads units of work ([`unit`]), answers some itself
 //! ([`local`]) and runs the others on a leased back end connection
-//! ([`lease`], [`exchange`]). What is said when something fails is decided in
-//! [`request`] and [`write`] and nowhere else.
+//! ([`lease`], [`exchange`]). Only [`request`] and [`write`] decide which failure
+//! is reported to the caller.
 
 mod cancel;
 mod exchange;
@@ -27,9 +27,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-pub use cancel::{CancelRegistry, CancelSlot};
+pub use cancel::{CancelHandle, CancelRegistry};
 use lease::Lease;
-use startup::{Opening, open_session};
+use startup::{StartupOutcome, open_session};
 use state::SessionState;
 use unit::{Unit, UnitEnd, read_unit};
 
@@ -44,16 +44,17 @@
 const IDLE_IN_TRANSACTION: &str = "25P03";
 /// SQLSTATE "feature not supported".
 const FEATURE_NOT_SUPPORTED: &str = "0A000";
-/// How long a node waits for a caller to close after it was told to leave.
+/// How long a node waits for a caller to close the connection after the final
+/// message.
 const CLOSE_WAIT: Duration = Duration::from_secs(1);
 
-/// What a session holds on to between units.
-struct Held {
+/// A lease that a session keeps between units, for an open transaction or batch.
+struct HeldLease {
     lease: Lease,
-    /// An explicit transaction, as opposed to a batch that goes on after a
-    /// Flush.
+    /// Whether an explicit transaction is open, as opposed to a batch that
+    /// continues after a Flush.
     in_transaction: bool,
-    /// Status last reported by the back end.
+    /// Transaction status last reported by the back end.
     status: SessionStatus,
 }
 
@@ -65,17 +66,18 @@
     output: BytesMut,
     database: Arc<str>,
     state: SessionState,
-    held: Option<Held>,
-    /// After an error in a batch, messages are ignored up to the next Sync.
+    held: Option<HeldLease>,
+    /// Whether messages are ignored up to the next Sync, after an error in a
+    /// batch.
     skip_until_sync: bool,
-    /// The transaction was lost with its connection; the caller has yet to
-    /// end it.
+    /// Whether the transaction was lost with its connection and the caller has
+    /// not ended it yet.
     lost_transaction: bool,
-    cancel: Arc<CancelSlot>,
+    cancel: Arc<CancelHandle>,
     leaving: watch::Receiver<bool>,
 }
 
-/// Why a session stops waiting for input.
+/// Why a session stopped waiting for input.
 enum Input {
     Ready,
     Closed,
@@ -89,10 +91,10 @@
         return;
     }
     let mut reader = FrameReader::default();
-    let opening = Box::pin(open_session(&node, &mut stream, &mut reader)).await;
-    let opened = match opening {
-        Ok(Opening::Session(opened)) => opened,
-        Ok(Opening::Done) => return,
+    let outcome = Box::pin(open_session(&node, &mut stream, &mut reader)).await;
+    let opened = match outcome {
+        Ok(StartupOutcome::Session(opened)) => opened,
+        Ok(StartupOutcome::Done) => return,
         Err(error) => {
             reject(&node, &mut stream, &error).await;
             return;
@@ -121,8 +123,8 @@
     }
 }
 
-/// Tells a caller who broke the protocol, and says so in the log. Failures of
-/// the connection itself have nobody left to tell.
+/// Reports a protocol violation to the caller and in the log. An I/O error is
+/// dropped, because the caller can no longer be reached.
 async fn reject(node: &NodeShared, stream: &mut TcpStream, error: &WireError) {
     if matches!(error, WireError::Io(_)) {
         return;
@@ -134,12 +136,12 @@
     let fields = ErrorFields::fatal(PROTOCOL_VIOLATION, error.to_string());
     let mut output = BytesMut::new();
     reply::put_error(&mut output, &fields);
-    say_goodbye(stream, &output).await;
+    send_final_message(stream, &output).await;
 }
 
-/// Sends last words and waits a little for the caller to close, so that the
-/// words are not lost to a reset.
-async fn say_goodbye(stream: &mut TcpStream, output: &[u8]) {
+/// Sends a final message and waits up to [`CLOSE_WAIT`] for the caller to close,
+/// so that a TCP reset does not discard the message.
+async fn send_final_message(stream: &mut TcpStream, output: &[u8]) {
     if stream.write_all(output).await.is_err() || stream.shutdown().await.is_err() {
         return;
     }
@@ -167,24 +169,24 @@
                     }
                 }
             }
-            // Boxed so that an idle session does not keep room for it.
-            let goes_on = Box::pin(self.step()).await?;
-            if !goes_on {
+            // Boxed so that an idle session does not hold the memory of this future.
+            let continues = Box::pin(self.serve_next_unit()).await?;
+            if !continues {
                 return Ok(());
             }
         }
     }
 
     /// Waits for bytes from the caller. When the node leaves, a session ends
-    /// here: between requests, outside a transaction and with nothing
-    /// received that has not been answered.
+    /// here: between requests, outside a transaction and after everything
+    /// received has been answered.
     async fn wait_for_input(&mut self) -> Input {
         let idle_limit = self.node.settings.idle_transaction_timeout;
-        let holds_a_slot = self.held.is_some();
+        let holds_slot = self.held.is_some();
         let leaving = &mut self.leaving;
-        let at_rest = self.held.is_none() && !self.lost_transaction;
-        let must_leave = async {
-            if !at_rest || leaving.wait_for(|leaving| *leaving).await.is_err() {
+        let may_end = self.held.is_none() && !self.lost_transaction;
+        let node_leaves = async {
+            if !may_end || leaving.wait_for(|leaving| *leaving).await.is_err() {
                 std::future::pending::<()>().await;
             }
         };
@@ -194,8 +196,8 @@
                 Ok(()) => Input::Ready,
                 Err(_) => Input::Closed,
             },
-            () = tokio::time::sleep(idle_limit), if holds_a_slot => Input::IdleTooLong,
-            () = must_leave => match self.stream.try_read_buf(self.reader.raw()) {
+            () = tokio::time::sleep(idle_limit), if holds_slot => Input::IdleTooLong,
+            () = node_leaves => match self.stream.try_read_buf(self.reader.raw()) {
                 Ok(0) => Input::Closed,
                 Ok(_) => Input::Ready,
                 Err(_) => Input::Leave,
@@ -203,8 +205,8 @@
         }
     }
 
-    /// Ends a session that holds a slot and sends nothing; its transaction is
-    /// rolled back by the back end as the connection closes.
+    /// Ends a session that holds a slot without sending anything. The back end
+    /// rolls the transaction back when its connection closes.
     async fn end_idle_transaction(&mut self) {
         self.held = None;
         let fields = ErrorFields::fatal(
@@ -214,20 +216,21 @@
         .with_detail("outcome=not_run reason=idle_in_transaction");
         reply::put_error(&mut self.output, &fields);
         let output = self.output.split();
-        say_goodbye(&mut self.stream, &output).await;
+        send_final_message(&mut self.stream, &output).await;
     }
 
+    /// Ends the session because the node leaves.
     async fn leave(&mut self) {
         let failure = Failure::NotRun(NotRun::Stopping);
         let fields = ErrorFields::fatal(failure.sqlstate(), "the node is leaving; connect again")
             .with_detail(failure.detail(0.0));
         reply::put_error(&mut self.output, &fields);
         let output = self.output.split();
-        say_goodbye(&mut self.stream, &output).await;
+        send_final_message(&mut self.stream, &output).await;
     }
 
-    /// Reads and serves one unit. `false` when the session has ended.
-    async fn step(&mut self) -> Result<bool, WireError> {
+    /// Reads and serves one unit. Returns `false` when the session has ended.
+    async fn serve_next_unit(&mut self) -> Result<bool, WireError> {
         let unit = read_unit(
             &mut self.reader,
             &mut self.stream,
@@ -275,7 +278,7 @@
         self.run_unit(unit).await
     }
 
-    /// Transaction status as the caller must see it.
+    /// Transaction status to report to the caller.
     fn status(&self) -> SessionStatus {
         match &self.held {
             Some(held) if held.in_transaction => held.status,
@@ -295,8 +298,9 @@
         self.end_unit(unit);
     }
 
-    /// Ends a unit whose answer is already in the output. After a Flush that
-    /// happens only on an error, and the caller's Sync is yet to come.
+    /// Ends a unit whose answer is already in the output. A unit that ends with
+    /// Flush gets here only on an error, so messages are skipped up to the
+    /// caller's Sync.
     fn end_unit(&mut self, unit: &Unit) {
         if ends_with_sync(unit) {
             self.put_ready();
@@ -340,11 +344,11 @@
     )
 }
 
-/// Counts an open client connection for as long as it lives.
+/// Counts an open client connection until it is dropped.
 pub struct OpenConnection(Arc<NodeShared>);
 
 impl OpenConnection {
-    /// Counts one more.
+    /// Counts an accepted connection.
     pub fn new(node: Arc<NodeShared>) -> Self {
         count(&node.metrics.connections_accepted);
         count(&node.metrics.connections_open);
--- a/crates/linkhold/src/session/plan.rs
+++ b/crates/linkhold/src/session/plan.rs
@@ -1,8 +1,8 @@
-//! Which replies of a back end belong to the caller.
+//! Decides which replies of a back end are forwarded to the caller.
 //!
-//! A unit sent to a back end is not what the caller sent: statements carry
+//! A unit sent to a back end differs from what the caller sent: statements have
 //! other names, some are prepared already, others must be prepared first. The
-//! plan lists, in order, what becomes of the reply to each message.
+//! plan lists, in order, how to handle the reply to each message.
 
 use std::collections::VecDeque;
 
@@ -14,21 +14,21 @@
 use super::unit::{ExtendedMessage, UnitEnd};
 use crate::backend::{BackendConnection, MAX_PREPARED};
 
-/// Name of a statement no back end has, so that using it fails there as the
-/// caller expects.
+/// Name of a statement that no back end has prepared, so that using it fails
+/// with the error that the caller expects.
 const MISSING_STATEMENT: &str = "lh_missing";
 
-/// What becomes of the reply to one message.
+/// How to handle the reply to one message.
 #[derive(Debug)]
 enum PlannedReply {
-    /// It goes to the caller.
+    /// Forward the reply to the caller.
     Forward,
-    /// It answers a message of the node's own. A statement prepared by it is
-    /// then known on the connection.
-    Swallow { prepares: Option<String> },
-    /// As `Forward`, for a caller's own Parse.
+    /// Discard the reply: it answers a message of the node's own. `prepares`
+    /// names the statement that the message prepares on the connection.
+    Discard { prepares: Option<String> },
+    /// As `Forward`, for a caller's own Parse of the statement `prepares`.
     ForwardParse { prepares: String },
-    /// No message was sent; the caller gets these bytes.
+    /// No message was sent to the back end; send these bytes to the caller.
     Synthesize(Bytes),
 }
 
@@ -38,10 +38,10 @@
     /// To the caller.
     Forward,
     /// Nowhere.
-    Swallow,
+    Discard,
 }
 
-/// Bytes to send and what becomes of the replies.
+/// Bytes to send to a back end, and how to handle the replies.
 #[derive(Debug, Default)]
 pub struct ReplyPlan {
     /// Messages for the back end.
@@ -49,7 +49,7 @@
     replies: VecDeque<PlannedReply>,
     extended: bool,
     ends_with_flush: bool,
-    lost_track: bool,
+    statements_out_of_sync: bool,
 }
 
 impl ReplyPlan {
@@ -67,7 +67,7 @@
         end: UnitEnd,
         connection: &mut BackendConnection,
     ) -> Self {
-        let mut builder = Builder {
+        let mut builder = PlanBuilder {
             plan: Self {
                 extended: true,
                 ends_with_flush: end == UnitEnd::Flush,
@@ -87,7 +87,8 @@
         plan
     }
 
-    /// Whether the unit ends without a ReadyForQuery and all is answered.
+    /// Whether the unit ends with Flush, hence without a ReadyForQuery, and every
+    /// message has been answered.
     pub fn is_flushed(&self) -> bool {
         self.ends_with_flush && self.replies.is_empty()
     }
@@ -98,19 +99,19 @@
     }
 
     /// Whether an error kept the back end from closing a statement that the
-    /// connection's record no longer holds; the connection must be closed.
-    pub fn lost_track(&self) -> bool {
-        self.lost_track
+    /// connection's record no longer lists. The connection must then be closed.
+    pub fn statements_out_of_sync(&self) -> bool {
+        self.statements_out_of_sync
     }
 
     fn has_pending_close(&self) -> bool {
         self.replies
             .iter()
-            .any(|reply| matches!(reply, PlannedReply::Swallow { prepares: None }))
+            .any(|reply| matches!(reply, PlannedReply::Discard { prepares: None }))
     }
 
     /// Appends synthesized replies that are due before the next real one.
-    pub fn put_due(&mut self, output: &mut BytesMut) {
+    pub fn put_synthesized(&mut self, output: &mut BytesMut) {
         while let Some(PlannedReply::Synthesize(_)) = self.replies.front() {
             if let Some(PlannedReply::Synthesize(bytes)) = self.replies.pop_front() {
                 output.extend_from_slice(&bytes);
@@ -118,23 +119,24 @@
         }
     }
 
-    /// Decides about a reply, and notes statements that it shows prepared.
+    /// Returns where a reply goes, and records the statement that it confirms as
+    /// prepared.
     pub fn on_reply(&mut self, reply: u8, connection: &mut PreparedNames<'_>) -> Disposition {
         if !self.extended {
             return Disposition::Forward;
         }
         match reply {
             kind::ERROR_RESPONSE => {
-                self.lost_track |= self.has_pending_close();
+                self.statements_out_of_sync |= self.has_pending_close();
                 self.replies.clear();
                 Disposition::Forward
             }
-            reply if ends_a_reply(reply) => match self.replies.pop_front() {
-                Some(PlannedReply::Swallow { prepares }) => {
+            reply if completes_reply(reply) => match self.replies.pop_front() {
+                Some(PlannedReply::Discard { prepares }) => {
                     if let Some(name) = prepares {
                         connection.add(name);
                     }
-                    Disposition::Swallow
+                    Disposition::Discard
                 }
                 Some(PlannedReply::ForwardParse { prepares }) => {
                     connection.add(prepares);
@@ -151,7 +153,7 @@
 pub struct PreparedNames<'a> {
     /// The names.
     pub names: &'a mut std::collections::HashSet<String>,
-    /// The same, oldest first.
+    /// The same names, oldest first.
     pub order: &'a mut VecDeque<String>,
 }
 
@@ -164,7 +166,7 @@
 }
 
 /// Whether a backend message is the last reply to a frontend message.
-fn ends_a_reply(reply: u8) -> bool {
+fn completes_reply(reply: u8) -> bool {
     const PORTAL_SUSPENDED: u8 = b's';
     const NO_DATA: u8 = b'n';
     const EMPTY_QUERY: u8 = b'I';
@@ -181,14 +183,14 @@
     )
 }
 
-struct Builder<'a> {
+struct PlanBuilder<'a> {
     plan: ReplyPlan,
     connection: &'a mut BackendConnection,
-    /// Statements this unit prepares before they are needed.
+    /// Statements that this unit prepares.
     planned: Vec<String>,
 }
 
-impl Builder<'_> {
+impl PlanBuilder<'_> {
     fn add(&mut self, message: &ExtendedMessage) {
         match message {
             ExtendedMessage::Parse(statement) => self.add_parse(statement),
@@ -217,19 +219,19 @@
         self.plan.replies.push_back(reply);
     }
 
-    fn is_known(&self, name: &str) -> bool {
+    fn is_prepared(&self, name: &str) -> bool {
         self.connection.prepared.contains(name) || self.planned.iter().any(|known| known == name)
     }
 
     fn add_parse(&mut self, statement: &PreparedStatement) {
         let name = &statement.backend_name;
-        if self.is_known(name) {
+        if self.is_prepared(name) {
             let mut reply = BytesMut::new();
             reply::put_parse_complete(&mut reply);
             self.push(PlannedReply::Synthesize(reply.freeze()));
             return;
         }
-        self.make_room();
+        self.evict_if_full();
         statement.parse.write(&mut self.plan.request, name);
         self.planned.push(name.clone());
         self.push(PlannedReply::ForwardParse {
@@ -237,25 +239,26 @@
         });
     }
 
-    /// Prepares a statement unless it is; returns its name on the back end.
+    /// Adds a Parse unless the statement is prepared already; returns its name on
+    /// the back end.
     fn ensure_prepared(&mut self, statement: Option<&PreparedStatement>) -> String {
         let Some(statement) = statement else {
             return MISSING_STATEMENT.to_owned();
         };
         let name = &statement.backend_name;
-        if !self.is_known(name) {
-            self.make_room();
+        if !self.is_prepared(name) {
+            self.evict_if_full();
             statement.parse.write(&mut self.plan.request, name);
             self.planned.push(name.clone());
-            self.push(PlannedReply::Swallow {
+            self.push(PlannedReply::Discard {
                 prepares: Some(name.clone()),
             });
         }
         name.clone()
     }
 
-    /// Closes the oldest statement once the connection holds its most.
-    fn make_room(&mut self) {
+    /// Closes the oldest statement if the connection holds [`MAX_PREPARED`].
+    fn evict_if_full(&mut self) {
         if self.connection.prepared.len() < MAX_PREPARED {
             return;
         }
@@ -268,12 +271,12 @@
             name: oldest,
         };
         named.write(&mut self.plan.request, kind::CLOSE, &named.name);
-        self.push(PlannedReply::Swallow { prepares: None });
+        self.push(PlannedReply::Discard { prepares: None });
     }
 
     fn add_close(&mut self, named: &Named) {
         match named.target {
-            // Statements stay prepared on the back end, for other sessions.
+            // Statements stay prepared on the back end for other sessions.
             Target::Statement => {
                 let mut reply = BytesMut::new();
                 reply::put_close_complete(&mut reply);
--- a/crates/linkhold/src/session/request.rs
+++ b/crates/linkhold/src/session/request.rs
@@ -1,15 +1,15 @@
-//! Running of units on back ends, and what is said when something fails.
+//! Runs units on back ends and decides what to report when one fails.
 //!
 //! # Invariants
 //!
-//! * [`Failure::NotRun`] is said only if no byte of the unit was sent, if the
-//!   back end refused it as not being the primary, if the request's
-//!   transaction was never told to commit, or if its key has been cancelled.
-//! * The completion of a write is passed on only after its commit has been
+//! * [`Failure::NotRun`] is reported only if no byte of the unit was sent, if the
+//!   back end refused it because it is not the primary, if no COMMIT was sent for
+//!   the request's transaction, or if its key has been cancelled.
+//! * The completion of a write is forwarded only after its commit has been
 //!   confirmed (see [`super::write`]).
 //! * A unit that has been sent is sent again only if the back end proved that
 //!   it did not run, or if it is a read that the caller marked repeatable and
-//!   no byte of its answer has been passed on.
+//!   no byte of its answer has been forwarded.
 
 use std::sync::Arc;
 
@@ -24,22 +24,22 @@
 use super::lease::{Lease, LeaseFinder};
 use super::plan::ReplyPlan;
 use super::unit::Unit;
-use super::write::Committed;
-use super::{Held, Session};
+use super::write::UnconfirmedCommit;
+use super::{HeldLease, Session};
 use crate::backend::BackendError;
 use crate::group::GroupHandle;
 use crate::metrics::count;
 
 const TOKEN_PARAMETER: &str = "linkhold.token";
 
-/// What an exchange came to.
-pub(super) enum Ran {
+/// How an exchange with a back end ended.
+pub(super) enum ExchangeOutcome {
     Answered(Exchange),
     /// The back end failed after the unit had been sent.
     BackendFailed {
-        /// Part of the answer has reached the caller.
+        /// Whether part of the answer has been sent to the caller.
         sent_to_caller: bool,
-        /// Why its outcome is not known.
+        /// Why the outcome is unknown.
         reason: Unknown,
     },
 }
@@ -50,7 +50,7 @@
         if let Some(held) = self.held.take() {
             return self.run_on_held(unit, held).await;
         }
-        let access = self.state.stated_access.unwrap_or(unit.access());
+        let access = self.state.declared_access.unwrap_or(unit.access());
         let begins_read_only = matches!(
             unit.single_statement(),
             Some(StatementKind::Begin { read_only: true })
@@ -69,7 +69,7 @@
             .ok_or(NotRun::UnknownDatabase)
     }
 
-    /// Finds a lease, unless the caller cancels first.
+    /// Finds a lease; fails with [`NotRun::Cancelled`] if the caller cancels first.
     pub(super) async fn find_lease(
         &self,
         access: Access,
@@ -100,9 +100,9 @@
         unit: &Unit,
         lease: &mut Lease,
         policy: AnswerPolicy,
-    ) -> Result<Ran, WireError> {
+    ) -> Result<ExchangeOutcome, WireError> {
         let connection = lease.connection();
-        self.cancel.enter(connection.cancel_key);
+        self.cancel.start_statement(connection.cancel_key);
         let plan = match unit {
             Unit::Simple { frame, .. } => ReplyPlan::simple(frame.bytes()),
             Unit::Extended { messages, end } => ReplyPlan::extended(messages, *end, connection),
@@ -117,11 +117,11 @@
         };
         let result = run.run().await;
         let sent_to_caller = run.sent_to_caller;
-        lease.cancelled |= self.cancel.leave();
+        lease.must_close |= self.cancel.end_statement();
         match result {
             Ok(exchange) => {
-                lease.cancelled |= exchange.lost_track;
-                Ok(Ran::Answered(exchange))
+                lease.must_close |= exchange.statements_out_of_sync;
+                Ok(ExchangeOutcome::Answered(exchange))
             }
             Err(ExchangeError::Caller(error)) => Err(error.into()),
             Err(ExchangeError::Backend(error)) => {
@@ -130,7 +130,7 @@
                     BackendError::TimedOut => Unknown::TimedOut,
                     _ => Unknown::ConnectionLost,
                 };
-                Ok(Ran::BackendFailed {
+                Ok(ExchangeOutcome::BackendFailed {
                     sent_to_caller,
                     reason,
                 })
@@ -148,7 +148,7 @@
                     lease
                 }
                 Err(reason) => {
-                    self.fail(unit, Failure::NotRun(reason));
+                    self.fail_unit(unit, Failure::NotRun(reason));
                     return Ok(());
                 }
             };
@@ -156,14 +156,14 @@
                 .exchange(unit, &mut lease, AnswerPolicy::Stream)
                 .await?
             {
-                Ran::Answered(exchange) => {
+                ExchangeOutcome::Answered(exchange) => {
                     self.count_read(&lease, unit);
-                    self.note_settings(unit, &mut lease, &exchange);
+                    self.record_setting(unit, &mut lease, &exchange);
                     self.state.raise_floor(lease.required);
-                    self.settle(unit, lease, exchange);
+                    self.forward_answer(unit, lease, exchange);
                     return Ok(());
                 }
-                Ran::BackendFailed {
+                ExchangeOutcome::BackendFailed {
                     sent_to_caller,
                     reason,
                 } => {
@@ -172,7 +172,7 @@
                         && avoid.is_none()
                         && self.node.retry_budget.try_spend();
                     if !may_repeat {
-                        self.fail(unit, Failure::Unknown(reason));
+                        self.fail_unit(unit, Failure::Unknown(reason));
                         return Ok(());
                     }
                     count(&self.node.metrics.retries);
@@ -195,7 +195,7 @@
         count(counter);
     }
 
-    async fn run_on_held(&mut self, unit: &Unit, mut held: Held) -> Result<(), WireError> {
+    async fn run_on_held(&mut self, unit: &Unit, mut held: HeldLease) -> Result<(), WireError> {
         let may_commit = unit.may_commit() && held.lease.term.is_some();
         let ends_batch = !held.in_transaction && held.lease.term.is_some();
         let policy = if may_commit || ends_batch {
@@ -204,37 +204,37 @@
             AnswerPolicy::Stream
         };
         match self.exchange(unit, &mut held.lease, policy).await? {
-            Ran::Answered(exchange) => {
-                self.note_transaction_settings(unit, &mut held, &exchange);
+            ExchangeOutcome::Answered(exchange) => {
+                self.record_transaction_setting(unit, &mut held, &exchange);
                 self.finish_on_held(unit, held, exchange).await;
             }
-            Ran::BackendFailed { reason, .. } => {
+            ExchangeOutcome::BackendFailed { reason, .. } => {
                 let key = held.lease.request_key.take();
                 held.lease.close();
                 self.state.end_transaction(false);
                 if !may_commit && held.in_transaction {
                     self.lost_transaction = true;
-                    self.fail(unit, Failure::NotRun(NotRun::BackendUnavailable));
+                    self.fail_unit(unit, Failure::NotRun(NotRun::BackendUnavailable));
                     return Ok(());
                 }
                 let failure = match key {
-                    Some(key) => self.resolve(&key, reason).await,
+                    Some(key) => self.resolve_unknown(&key, reason).await,
                     None => Failure::Unknown(reason),
                 };
-                self.fail(unit, failure);
+                self.fail_unit(unit, failure);
             }
         }
         Ok(())
     }
 
-    async fn finish_on_held(&mut self, unit: &Unit, mut held: Held, exchange: Exchange) {
+    async fn finish_on_held(&mut self, unit: &Unit, mut held: HeldLease, exchange: Exchange) {
         if exchange.status != Some(SessionStatus::Idle) {
-            let Held {
+            let HeldLease {
                 lease,
                 in_transaction,
                 status,
             } = held;
-            self.settle_as(unit, lease, exchange, in_transaction, status);
+            self.forward_answer_in(unit, lease, exchange, in_transaction, status);
             return;
         }
         let committed = if held.in_transaction {
@@ -244,7 +244,7 @@
         };
         self.state.end_transaction(committed);
         let key = held.lease.request_key.take();
-        let commit = Committed::on(&held.lease);
+        let commit = UnconfirmedCommit::of(&held.lease);
         let must_confirm = committed && commit.is_write();
         if must_confirm {
             held.lease.finish();
@@ -252,16 +252,16 @@
                 .await;
         } else {
             self.state.raise_floor(held.lease.required);
-            self.settle(unit, held.lease, exchange);
+            self.forward_answer(unit, held.lease, exchange);
         }
     }
 
-    /// Passes an answer on that needs no confirmation.
-    pub(super) fn settle(&mut self, unit: &Unit, lease: Lease, exchange: Exchange) {
-        self.settle_as(unit, lease, exchange, false, SessionStatus::Idle);
+    /// Forwards an answer that needs no confirmation.
+    pub(super) fn forward_answer(&mut self, unit: &Unit, lease: Lease, exchange: Exchange) {
+        self.forward_answer_in(unit, lease, exchange, false, SessionStatus::Idle);
     }
 
-    fn settle_as(
+    fn forward_answer_in(
         &mut self,
         unit: &Unit,
         lease: Lease,
@@ -280,12 +280,12 @@
                 self.hold(lease, true, status);
                 self.end_unit(unit);
             }
-            // A Flush: the batch goes on.
+            // After a Flush the batch continues.
             None => self.hold(lease, in_transaction, status),
         }
     }
 
-    /// Adds an answer to the output, without a copy if there is nothing yet.
+    /// Appends an answer to the output, without a copy if the output is empty.
     pub(super) fn put_answer(&mut self, answer: bytes::BytesMut) {
         if self.output.is_empty() {
             self.output = answer;
@@ -295,26 +295,26 @@
     }
 
     pub(super) fn hold(&mut self, lease: Lease, in_transaction: bool, status: SessionStatus) {
-        self.held = Some(Held {
+        self.held = Some(HeldLease {
             lease,
             in_transaction,
             status,
         });
     }
 
-    /// Sends the session's token if it has moved.
+    /// Sends the session's token if its position has changed.
     pub(super) fn put_token(&mut self) {
-        if self.state.announced == self.state.floor {
+        if self.state.sent_floor == self.state.floor {
             return;
         }
-        self.state.announced = self.state.floor;
+        self.state.sent_floor = self.state.floor;
         let token = self.node.token_key.issue(&self.database, self.state.floor);
         reply::put_parameter_status(&mut self.output, TOKEN_PARAMETER, &token);
     }
 
-    /// Ends a unit that did not complete: the final answer, at once, with the
-    /// time to come back.
-    pub(super) fn fail(&mut self, unit: &Unit, failure: Failure) {
+    /// Ends a unit that did not complete: reports the failure at once, with the time
+    /// after which to retry if there is one.
+    pub(super) fn fail_unit(&mut self, unit: &Unit, failure: Failure) {
         self.count_failure(failure);
         let fields = ErrorFields::error(failure.sqlstate(), failure.to_string())
             .with_detail(failure.detail(rand::random()));
@@ -322,7 +322,7 @@
     }
 
     /// Records a setting changed outside a transaction.
-    fn note_settings(&mut self, unit: &Unit, lease: &mut Lease, exchange: &Exchange) {
+    fn record_setting(&mut self, unit: &Unit, lease: &mut Lease, exchange: &Exchange) {
         let Some((name, value)) = changed_setting(unit, exchange) else {
             return;
         };
@@ -333,8 +333,13 @@
         lease.connection().settings = None;
     }
 
-    /// Records a setting changed in a transaction, to be kept if it commits.
-    fn note_transaction_settings(&mut self, unit: &Unit, held: &mut Held, exchange: &Exchange) {
+    /// Records a setting changed in a transaction; it is kept if it commits.
+    fn record_transaction_setting(
+        &mut self,
+        unit: &Unit,
+        held: &mut HeldLease,
+        exchange: &Exchange,
+    ) {
         let Some((name, value)) = changed_setting(unit, exchange) else {
             return;
         };
@@ -345,8 +350,9 @@
     }
 }
 
-/// Name and new value of a setting that the unit has changed; no name for
-/// all settings, no value for a reset.
+/// Name and new value of a setting that the unit has changed. The name is `None`
+/// for all settings, the value is `None` for a reset. Returns `None` if no setting
+/// has changed.
 fn changed_setting(unit: &Unit, exchange: &Exchange) -> Option<(Option<String>, Option<String>)> {
     if exchange.error.is_some() || !unit.executes() {
         return None;
--- a/crates/linkhold/src/session/startup.rs
+++ b/crates/linkhold/src/session/startup.rs
@@ -1,4 +1,4 @@
-//! Opening of a session: encryption requests, cancel requests, start-up
+//! StartupOutcome of a session: encryption requests, cancel requests, start-up
 //! parameters.
 
 use std::collections::BTreeMap;
@@ -16,9 +16,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::cancel::CancelSlot;
+use super::cancel::CancelHandle;
 use super::local::apply_linkhold_setting;
-use super::{PROTOCOL_VIOLATION, SessionState, say_goodbye};
+use super::{PROTOCOL_VIOLATION, SessionState, send_final_message};
 use crate::backend::SessionSettings;
 use crate::console;
 use crate::node::NodeShared;
@@ -28,27 +28,29 @@
 const REFUSE_ENCRYPTION: &[u8] = b"N";
 /// Prefix of linkhold's own settings.
 const OWN_PREFIX: &str = "linkhold.";
-/// Parameters that say who connects to what; all others are settings.
+/// Parameters that name the user and the database, or need handling of their own;
+/// all others are settings.
 const IDENTITY_PARAMETERS: [&str; 4] = ["user", "database", "replication", "options"];
 const INVALID_AUTHORIZATION: &str = "28000";
 
-/// What became of a new connection.
-pub enum Opening {
+/// Result of the start-up of a connection.
+pub enum StartupOutcome {
     /// A session is open.
-    Session(Opened),
-    /// A cancel request or a refused start; nothing is left to do.
+    Session(OpenedSession),
+    /// The connection was a cancel request, was refused or was closed; it needs
+    /// no further handling.
     Done,
 }
 
 /// An opened session.
-pub struct Opened {
+pub struct OpenedSession {
     /// The database.
     pub database: Arc<str>,
     /// Settings and tokens from the start-up parameters.
     pub state: SessionState,
-    /// For cancel requests.
-    pub cancel: Arc<CancelSlot>,
-    /// The operators' console, not a database.
+    /// State for cancel requests.
+    pub cancel: Arc<CancelHandle>,
+    /// Whether the session is for the operators' console and not for a database.
     pub is_console: bool,
 }
 
@@ -57,18 +59,18 @@
     node: &NodeShared,
     stream: &mut TcpStream,
     reader: &mut FrameReader,
-) -> Result<Opening, WireError> {
+) -> Result<StartupOutcome, WireError> {
     let startup = match read_first_message(node, stream, reader).await? {
         Some(startup) => startup,
-        None => return Ok(Opening::Done),
+        None => return Ok(StartupOutcome::Done),
     };
-    match check(node, &startup) {
+    match check_startup(node, &startup) {
         Ok((database, state)) => {
             let is_console = &*database == console::DATABASE;
             let cancel = node.cancels.register();
-            let greeting = greeting(node, &database, &startup, &cancel);
-            stream.write_all(&greeting).await?;
-            Ok(Opening::Session(Opened {
+            let startup_reply = startup_reply(node, &database, &startup, &cancel);
+            stream.write_all(&startup_reply).await?;
+            Ok(StartupOutcome::Session(OpenedSession {
                 database,
                 state,
                 cancel,
@@ -78,8 +80,8 @@
         Err(fields) => {
             let mut output = BytesMut::new();
             reply::put_error(&mut output, &fields);
-            say_goodbye(stream, &output).await;
-            Ok(Opening::Done)
+            send_final_message(stream, &output).await;
+            Ok(StartupOutcome::Done)
         }
     }
 }
@@ -91,7 +93,7 @@
 ) -> Result<Option<Startup>, WireError> {
     let mut context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
     loop {
-        if !first_message_is_sound(reader.raw()) {
+        if !is_first_message_valid(reader.raw()) {
             return Err(WireError::Malformed("start-up"));
         }
         match PgWireFrontendMessage::decode(reader.raw(), &context) {
@@ -117,9 +119,10 @@
     }
 }
 
-/// Whether the length field can be right, and the message, once whole, ends
-/// as it must: checked here because the library's decoder assumes it.
-fn first_message_is_sound(buffer: &BytesMut) -> bool {
+/// Whether the length field is valid and the message, once complete, ends with the
+/// zero byte that the protocol requires. The library's decoder assumes both
+/// without a check.
+fn is_first_message_valid(buffer: &BytesMut) -> bool {
     const SHORTEST: usize = 8;
     const CANCEL_LENGTH: usize = 16;
     let Some(length) = buffer.first_chunk::<4>() else {
@@ -140,7 +143,10 @@
 }
 
 /// Checks the start-up parameters and builds the session's state.
-fn check(node: &NodeShared, startup: &Startup) -> Result<(Arc<str>, SessionState), ErrorFields> {
+fn check_startup(
+    node: &NodeShared,
+    startup: &Startup,
+) -> Result<(Arc<str>, SessionState), ErrorFields> {
     const SUPPORTED_MAJOR: u16 = 3;
     if startup.protocol_number_major != SUPPORTED_MAJOR {
         return Err(ErrorFields::fatal(
@@ -225,7 +231,12 @@
     settings
 }
 
-fn greeting(node: &NodeShared, database: &str, startup: &Startup, cancel: &CancelSlot) -> BytesMut {
+fn startup_reply(
+    node: &NodeShared,
+    database: &str,
+    startup: &Startup,
+    cancel: &CancelHandle,
+) -> BytesMut {
     let mut output = BytesMut::new();
     reply::put_authentication_ok(&mut output);
     let encoding = startup
--- a/crates/linkhold/src/session/state.rs
+++ b/crates/linkhold/src/session/state.rs
@@ -1,4 +1,4 @@
-//! What a session carries from one request to the next.
+//! State that a session keeps from one request to the next.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,15 +11,15 @@
 
 use crate::backend::SessionSettings;
 
-/// A statement a caller has prepared.
+/// A statement that a caller has prepared.
 #[derive(Debug)]
 pub struct PreparedStatement {
     /// The message that prepares it.
     pub parse: Parse,
-    /// What it is.
+    /// Its classification.
     pub classified: Arc<Classified>,
-    /// Name it has on every back end connection: a hash of text and types, so
-    /// that sessions share it.
+    /// Its name on every back end connection: a hash of text and parameter types,
+    /// so that sessions share it.
     pub backend_name: String,
 }
 
@@ -42,33 +42,33 @@
 /// How the freshness of reads is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// A majority fence for every read: nothing is known of the caller.
+    /// By a majority fence for every read, for callers that present no token.
     Fence,
-    /// The caller presents tokens, which say all there is to know.
+    /// By the tokens that the caller presents, without a fence.
     Token,
 }
 
 /// Session state that does not depend on a back end connection.
 pub struct SessionState {
-    /// Settings to be in force on any connection the session uses.
+    /// Settings to apply to any connection that the session uses.
     pub settings: SessionSettings,
     /// Settings changed in the open transaction; kept only if it commits.
     pub transaction_settings: Vec<(String, Option<String>)>,
-    /// Prepared statements by the caller's name; empty for the unnamed one.
+    /// Prepared statements by the caller's name; the unnamed one has the empty name.
     pub prepared: HashMap<String, Arc<PreparedStatement>>,
     /// How freshness is decided.
     pub freshness: Freshness,
-    /// Highest position the session must not read below.
+    /// Lowest position that the session's reads must reflect.
     pub floor: Position,
     /// Position of the last token sent to the caller.
-    pub announced: Position,
-    /// Access the caller has stated, in place of classification.
-    pub stated_access: Option<Access>,
-    /// The caller says that its reads may be sent again.
+    pub sent_floor: Position,
+    /// Access that the caller has declared; it overrides the classification.
+    pub declared_access: Option<Access>,
+    /// Whether the caller has declared that its reads may be sent again.
     pub repeatable: bool,
     /// Key of the next request.
     pub request_key: Option<String>,
-    /// Last acknowledged write, for the pinning baseline.
+    /// When the last write was acknowledged, for the pinning baseline.
     pub last_write: Option<Instant>,
 }
 
@@ -81,15 +81,15 @@
             prepared: HashMap::new(),
             freshness: Freshness::Fence,
             floor: Position::default(),
-            announced: Position::default(),
-            stated_access: None,
+            sent_floor: Position::default(),
+            declared_access: None,
             repeatable: false,
             request_key: None,
             last_write: None,
         }
     }
 
-    /// Raises the floor to a position the session has seen.
+    /// Raises the floor to a position that the session has observed.
     pub fn raise_floor(&mut self, position: Position) {
         self.floor = self.floor.max(position);
     }
@@ -106,7 +106,8 @@
         }
     }
 
-    /// Keeps or drops the settings of a transaction that has ended.
+    /// Applies the settings of a committed transaction, or drops those of one
+    /// rolled back.
     pub fn end_transaction(&mut self, committed: bool) {
         for (name, value) in std::mem::take(&mut self.transaction_settings) {
             if committed {
@@ -115,11 +116,11 @@
         }
     }
 
-    /// Returns to the state at the start, as `DISCARD ALL` does.
+    /// Resets the state as `DISCARD ALL` does.
     pub fn discard(&mut self) {
         self.settings.clear();
         self.prepared.clear();
-        self.stated_access = None;
+        self.declared_access = None;
         self.repeatable = false;
         self.request_key = None;
     }
--- a/crates/linkhold/src/session/unit.rs
+++ b/crates/linkhold/src/session/unit.rs
@@ -14,7 +14,7 @@
 /// Most bytes of one unit held in memory.
 const MAX_UNIT_LENGTH: usize = 32 * 1024 * 1024;
 
-/// Prepared statements a session may have.
+/// Most prepared statements of a session.
 const MAX_PREPARED: usize = 2_000;
 
 /// A message of the extended protocol.
@@ -22,9 +22,9 @@
 pub enum ExtendedMessage {
     /// Prepares a statement.
     Parse(Arc<PreparedStatement>),
-    /// Binds a statement known to the session, or one that is not.
+    /// Binds a statement; `None` if the session has not prepared it.
     Bind(Bind, Option<Arc<PreparedStatement>>),
-    /// Describes a statement or portal.
+    /// Describes a statement (`None` if the session has not prepared it) or portal.
     Describe(Named, Option<Arc<PreparedStatement>>),
     /// Runs a portal.
     Execute(Frame),
@@ -41,14 +41,14 @@
     Flush,
 }
 
-/// What a caller has sent.
+/// A unit of work, as a caller has sent it.
 #[derive(Debug)]
 pub enum Unit {
     /// A simple query.
     Simple {
         /// SQL text.
         text: String,
-        /// What it is.
+        /// Its classification.
         classified: Arc<Classified>,
         /// The message.
         frame: Frame,
@@ -62,7 +62,7 @@
     },
     /// The caller ends the session.
     Terminate,
-    /// A message that has no place here.
+    /// A message that the protocol does not allow here.
     Unexpected,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// First refused feature.
+    /// First unsupported feature, if any.
     pub fn unsupported(&self) -> Option<Unsupported> {
         self.classifications()
             .find_map(|classified| classified.unsupported())
@@ -169,7 +169,7 @@
                 messages.push(read_message(&frame, state, cache)?);
                 continue;
             }
-            // Left over from a refused COPY; the protocol says to ignore them.
+            // Left over from a refused COPY; the protocol requires ignoring them.
             kind::COPY_DATA | kind::COPY_DONE | kind::COPY_FAIL => continue,
             _ => return Ok(Some(Unit::Unexpected)),
         };
--- a/crates/linkhold/src/session/write.rs
+++ b/crates/linkhold/src/session/write.rs
@@ -1,4 +1,4 @@
-//! Writes: acknowledgement, request keys, and outcomes that are not known.
+//! Writes: acknowledgement, request keys, and unknown outcomes.
 
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -15,7 +15,7 @@
 use super::exchange::{AnswerPolicy, Exchange};
 use super::lease::Lease;
 use super::local::LocalAnswer;
-use super::request::Ran;
+use super::request::ExchangeOutcome;
 use super::unit::Unit;
 use super::{FEATURE_NOT_SUPPORTED, Session, ends_with_sync};
 use crate::backend::BackendError;
@@ -25,20 +25,20 @@
 /// SQLSTATE with which a back end that is not primary refuses a write; it
 /// proves that the statement did not run.
 const READ_ONLY_TRANSACTION: &str = "25006";
-/// SQLSTATE of a unique violation: the request key is known.
+/// SQLSTATE of a unique violation: the request key is already recorded.
 const UNIQUE_VIOLATION: &str = "23505";
 
-/// A commit that returned and is to be confirmed.
+/// A commit that has returned and is not yet confirmed.
 #[derive(Clone)]
-pub(super) struct Committed {
+pub(super) struct UnconfirmedCommit {
     group: Arc<GroupHandle>,
     instance: InstanceIndex,
     term: Option<Term>,
 }
 
-impl Committed {
-    /// The commit that returned last on this lease.
-    pub(super) fn on(lease: &Lease) -> Self {
+impl UnconfirmedCommit {
+    /// The last commit that returned on this lease.
+    pub(super) fn of(lease: &Lease) -> Self {
         Self {
             group: lease.group.clone(),
             instance: lease.instance,
@@ -46,25 +46,25 @@
         }
     }
 
-    /// Whether the lease was one for writes.
+    /// Whether the lease was a write lease.
     pub(super) fn is_write(&self) -> bool {
         self.term.is_some()
     }
 }
 
-/// How a try of a write ended.
+/// How an attempt of a write ended.
 enum Attempt {
-    /// The caller has its answer.
+    /// The answer is in the output.
     Answered,
-    /// The back end proved that nothing ran: it is not the primary. The unit
-    /// may be sent to the one that is.
+    /// The back end proved that nothing ran: it is not the primary. The unit may
+    /// be sent to the primary.
     RefusedAsReplica,
 }
 
 impl Session {
-    /// Runs a unit that may write, holding it until there is a primary.
+    /// Runs a unit that may write. Waits until there is a primary.
     pub(super) async fn run_write(&mut self, unit: &Unit) -> Result<(), WireError> {
-        // The key belongs to this request, whatever becomes of it.
+        // The key belongs to this request alone, whether or not it completes.
         let key = unit
             .executes()
             .then(|| self.state.request_key.take())
@@ -73,28 +73,31 @@
             self.put_failure(unit, &keyed_flush_refused());
             return Ok(());
         }
-        let give_up_at = Instant::now() + self.write_wait();
-        let mut newly_confirmed = unit.begins();
+        let retry_until = Instant::now() + self.write_wait();
+        let mut needs_new_confirmation = unit.begins();
         loop {
-            let lease = match self.find_lease(Access::Write, newly_confirmed, None).await {
+            let lease = match self
+                .find_lease(Access::Write, needs_new_confirmation, None)
+                .await
+            {
                 Ok(lease) => lease,
                 Err(reason) => {
-                    self.fail(unit, Failure::NotRun(reason));
+                    self.fail_unit(unit, Failure::NotRun(reason));
                     return Ok(());
                 }
             };
             let attempt = match &key {
                 _ if !unit.executes() => self.try_preparation(unit, lease).await?,
                 Some(key) => self.try_keyed(unit, lease, key).await?,
-                None => self.try_plain(unit, lease).await?,
+                None => self.try_unkeyed(unit, lease).await?,
             };
             match attempt {
                 Attempt::Answered => return Ok(()),
-                Attempt::RefusedAsReplica if Instant::now() < give_up_at => {
-                    newly_confirmed = true;
+                Attempt::RefusedAsReplica if Instant::now() < retry_until => {
+                    needs_new_confirmation = true;
                 }
                 Attempt::RefusedAsReplica => {
-                    self.fail(unit, Failure::NotRun(NotRun::NoPrimary));
+                    self.fail_unit(unit, Failure::NotRun(NotRun::NoPrimary));
                     return Ok(());
                 }
             }
@@ -106,7 +109,8 @@
         group.map_or_else(Default::default, |group| group.row.load().write_wait)
     }
 
-    /// A unit that only prepares or describes: nothing to confirm.
+    /// Runs a unit that only prepares or describes, so that no commit needs
+    /// confirmation.
     async fn try_preparation(
         &mut self,
         unit: &Unit,
@@ -116,19 +120,19 @@
             .exchange(unit, &mut lease, AnswerPolicy::Stream)
             .await?
         {
-            Ran::Answered(exchange) => self.settle(unit, lease, exchange),
-            Ran::BackendFailed { .. } => {
-                self.fail(unit, Failure::NotRun(NotRun::BackendUnavailable));
+            ExchangeOutcome::Answered(exchange) => self.forward_answer(unit, lease, exchange),
+            ExchangeOutcome::BackendFailed { .. } => {
+                self.fail_unit(unit, Failure::NotRun(NotRun::BackendUnavailable));
             }
         }
         Ok(Attempt::Answered)
     }
 
-    async fn try_plain(&mut self, unit: &Unit, mut lease: Lease) -> Result<Attempt, WireError> {
+    async fn try_unkeyed(&mut self, unit: &Unit, mut lease: Lease) -> Result<Attempt, WireError> {
         let exchange = match self.exchange(unit, &mut lease, AnswerPolicy::Hold).await? {
-            Ran::Answered(exchange) => exchange,
-            Ran::BackendFailed { reason, .. } => {
-                self.fail(unit, Failure::Unknown(reason));
+            ExchangeOutcome::Answered(exchange) => exchange,
+            ExchangeOutcome::BackendFailed { reason, .. } => {
+                self.fail_unit(unit, Failure::Unknown(reason));
                 return Ok(Attempt::Answered);
             }
         };
@@ -140,17 +144,18 @@
         }
         let committed = ended && (exchange.error.is_none() || exchange.saw_commit);
         if !committed {
-            self.settle(unit, lease, exchange);
+            self.forward_answer(unit, lease, exchange);
             return Ok(Attempt::Answered);
         }
-        let commit = Committed::on(&lease);
+        let commit = UnconfirmedCommit::of(&lease);
         lease.finish();
         self.acknowledge(unit, &commit, exchange, None).await;
         Ok(Attempt::Answered)
     }
 
-    /// Runs a unit with a request key: the key is recorded in the unit's own
-    /// transaction, so that it runs at most once whichever node it comes by.
+    /// Runs a unit with a request key. The key is recorded in the unit's own
+    /// transaction, so that it runs at most once, through whichever nodes it is
+    /// sent.
     async fn try_keyed(
         &mut self,
         unit: &Unit,
@@ -171,9 +176,9 @@
         match recorded.await {
             Ok(_) => {}
             Err(BackendError::Refused(error)) if error.code == UNIQUE_VIOLATION => {
-                let failure = self.look_up_key(&mut lease, key).await;
+                let failure = self.read_recorded_outcome(&mut lease, key).await;
                 lease.finish();
-                self.fail(unit, failure);
+                self.fail_unit(unit, failure);
                 return Ok(Attempt::Answered);
             }
             Err(error) => return Ok(self.fail_before_commit(unit, lease, &error).await),
@@ -185,10 +190,12 @@
             return Ok(Attempt::Answered);
         }
         match self.exchange(unit, &mut lease, AnswerPolicy::Hold).await? {
-            Ran::Answered(exchange) => Ok(self.commit_keyed(unit, lease, exchange, key).await),
+            ExchangeOutcome::Answered(exchange) => {
+                Ok(self.commit_keyed(unit, lease, exchange, key).await)
+            }
             // Without a COMMIT the back end rolls back.
-            Ran::BackendFailed { .. } => {
-                self.fail(unit, Failure::NotRun(NotRun::BackendUnavailable));
+            ExchangeOutcome::BackendFailed { .. } => {
+                self.fail_unit(unit, Failure::NotRun(NotRun::BackendUnavailable));
                 Ok(Attempt::Answered)
             }
         }
@@ -204,7 +211,7 @@
         if exchange.status != Some(SessionStatus::Transaction) {
             return self.roll_back_keyed(unit, lease, exchange).await;
         }
-        let commit = Committed::on(&lease);
+        let commit = UnconfirmedCommit::of(&lease);
         match lease.connection().execute("COMMIT").await {
             Ok(_) => {
                 lease.finish();
@@ -217,14 +224,14 @@
             Err(_) => {
                 lease.group.suspect(lease.instance).await;
                 lease.close();
-                let failure = self.resolve(key, Unknown::ConnectionLost).await;
-                self.fail(unit, failure);
+                let failure = self.resolve_unknown(key, Unknown::ConnectionLost).await;
+                self.fail_unit(unit, failure);
             }
         }
         Attempt::Answered
     }
 
-    /// The unit failed in its transaction; its error is the answer.
+    /// Rolls back a unit that failed in its transaction; its error is the answer.
     async fn roll_back_keyed(
         &mut self,
         unit: &Unit,
@@ -246,7 +253,7 @@
         Attempt::Answered
     }
 
-    /// Ends a unit whose transaction was never told to commit.
+    /// Ends a unit for whose transaction no COMMIT was sent.
     async fn fail_before_commit(
         &mut self,
         unit: &Unit,
@@ -260,17 +267,17 @@
                 return Attempt::RefusedAsReplica;
             }
             BackendError::Refused(fields) => self.put_failure(unit, fields),
-            _ => self.fail(unit, Failure::NotRun(NotRun::BackendUnavailable)),
+            _ => self.fail_unit(unit, Failure::NotRun(NotRun::BackendUnavailable)),
         }
         Attempt::Answered
     }
 
-    /// Confirms a commit, then passes its held answer on; or says what can be
-    /// said instead.
+    /// Confirms a commit, then forwards its held answer. If the commit cannot be
+    /// confirmed, reports an unknown outcome, or the outcome recorded for the key.
     pub(super) async fn acknowledge(
         &mut self,
         unit: &Unit,
-        commit: &Committed,
+        commit: &UnconfirmedCommit,
         exchange: Exchange,
         key: Option<&str>,
     ) {
@@ -285,29 +292,30 @@
             }
             Err(reason) => {
                 let failure = match key {
-                    Some(key) => self.resolve(key, reason).await,
+                    Some(key) => self.resolve_unknown(key, reason).await,
                     None => Failure::Unknown(reason),
                 };
-                self.fail(unit, failure);
+                self.fail_unit(unit, failure);
             }
         }
     }
 
-    /// Waits until a majority follows the commit's term and holds it.
-    async fn confirm(&self, commit: &Committed) -> Result<Position, Unknown> {
+    /// Waits until a majority follows the commit's term and holds the commit, and
+    /// returns its position.
+    async fn confirm(&self, commit: &UnconfirmedCommit) -> Result<Position, Unknown> {
         let Some(term) = commit.term else {
             return Ok(self.state.floor);
         };
         let group = &commit.group;
-        let _round_of_its_own = match self.node.settings.share_rounds {
+        let _unshared_round = match self.node.settings.share_rounds {
             true => None,
-            false => Some(group.own_round().await),
+            false => Some(group.lock_unshared_round().await),
         };
         let promise = self.node.settings.commit_promise;
         let mut pending = PendingCommit {
             instance: commit.instance,
             term,
-            returned_at: group.now(),
+            returned_at: group.current_tag(),
             target: None,
         };
         let deadline = Instant::now() + group.row.load().write_wait;
@@ -324,32 +332,33 @@
         verdict.unwrap_or(Err(Unknown::NotConfirmed))
     }
 
-    /// The key is already recorded: tells what happened to it, once a
-    /// majority confirms that the record stays.
-    async fn look_up_key(&self, lease: &mut Lease, key: &str) -> Failure {
+    /// Reads the recorded outcome of a key, once a majority confirms that the
+    /// record stays.
+    async fn read_recorded_outcome(&self, lease: &mut Lease, key: &str) -> Failure {
         let query = request_key::select_outcome(key);
         let outcome = async {
             lease.connection().execute("ROLLBACK").await?;
             lease.connection().query_value(&query).await
         };
         let Ok(outcome) = outcome.await else {
-            lease.cancelled = true;
+            lease.must_close = true;
             return Failure::Unknown(Unknown::ConnectionLost);
         };
-        match self.confirm(&Committed::on(lease)).await {
+        match self.confirm(&UnconfirmedCommit::of(lease)).await {
             Ok(_) => recorded_outcome(&outcome),
             Err(reason) => Failure::Unknown(reason),
         }
     }
 
-    /// Finds out what became of a keyed request whose outcome is unknown, by
-    /// recording its key as cancelled at the confirmed primary.
-    pub(super) async fn resolve(&self, key: &str, unknown: Unknown) -> Failure {
+    /// Resolves the unknown outcome of a keyed request by recording its key as
+    /// cancelled at the confirmed primary. If the key is recorded already, reports
+    /// the recorded outcome.
+    pub(super) async fn resolve_unknown(&self, key: &str, unknown: Unknown) -> Failure {
         let Ok(mut lease) = self.find_lease(Access::Write, true, None).await else {
             return Failure::Unknown(unknown);
         };
         let cancel = request_key::insert(key, request_key::OUTCOME_CANCELLED, unix_seconds());
-        let commit = Committed::on(&lease);
+        let commit = UnconfirmedCommit::of(&lease);
         match lease.connection().execute(&cancel).await {
             Ok(_) => {
                 lease.finish();
