--- a/crates/linkhold/src/backend/pool.rs
+++ b/crates/linkhold/src/backend/pool.rs
@@ -202,8 +202,9 @@
 ///
 /// # Invariant
 ///
-/// The connection returns to the pool only by [`PooledConnection::return_to_pool`], which
-/// is called after a ReadyForQuery in idle state. If dropped without that call, the
+/// The connection returns to the pool only by
+/// [`PooledConnection::return_to_pool`], which is called after a ReadyForQuery in
+/// idle state. If dropped without that call, the
 /// connection is closed, so that no state of one session reaches the next.
 pub struct PooledConnection {
     connection: Option<BackendConnection>,
--- a/crates/linkhold/src/cli/bench.rs
+++ b/crates/linkhold/src/cli/bench.rs
@@ -1,4 +1,4 @@
-//! `linkhold bench`: measures a node beside the same load without one.
+//! `linkhold bench`: measures a load with a node and the same load without one.
 
 use std::time::Duration;
 
--- a/crates/linkhold/src/cli/demo.rs
+++ b/crates/linkhold/src/cli/demo.rs
@@ -1,4 +1,4 @@
-//! `linkhold demo`: the whole system in one process, under load and faults.
+//! `linkhold demo`: runs the whole system in one process, under load and faults.
 
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/linkhold/src/cli/mod.rs
+++ b/crates/linkhold/src/cli/mod.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Argument that names nodes.
+/// Argument that takes addresses of nodes.
 fn nodes_argument() -> Arg {
     Arg::new("node")
         .long("node")
--- a/crates/linkhold/src/cli/proxy.rs
+++ b/crates/linkhold/src/cli/proxy.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::settings::{Overrides, parse};
 
-/// Flags that stand for a key of the settings file.
+/// Settings keys that can be given as flags, with their help texts.
 const KEY_FLAGS: [(&str, &str); 5] = [
     ("node", "Name of the node, unique in the fleet"),
     ("zone", "Zone the node stands in"),
@@ -61,7 +61,7 @@
     key.replace(['.', '_'], "-")
 }
 
-/// How long the last log lines may take to be written.
+/// Longest time to wait for the last log lines to be written.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(100);
 
 /// Runs the subcommand.
--- a/crates/linkhold/src/cli/status.rs
+++ b/crates/linkhold/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `linkhold status`: what nodes report of themselves.
+//! `linkhold status`: prints the listings that nodes report.
 
 use clap::{ArgMatches, Command};
 use eyre::{Result, eyre};
@@ -41,10 +41,10 @@
     })
 }
 
-/// Prints a node's listings; `false` if a database has no primary.
+/// Prints a node's listings; returns `false` if a database has no primary.
 async fn print_node(node: &str) -> Result<bool> {
     let client = connect(node).await?;
-    let mut with_primary = std::collections::BTreeMap::new();
+    let mut has_primary_by_database = std::collections::BTreeMap::new();
     for listing in ["GROUPS", "POOLS", "STATS"] {
         for row in show(&client, listing).await? {
             let pairs: Vec<String> = row
@@ -61,11 +61,13 @@
                 let is_primary = row
                     .iter()
                     .any(|(name, value)| name == "role" && value == "primary");
-                *with_primary.entry(database).or_insert(false) |= is_primary;
+                *has_primary_by_database.entry(database).or_insert(false) |= is_primary;
             }
         }
     }
-    Ok(with_primary.values().all(|has_primary| *has_primary))
+    Ok(has_primary_by_database
+        .values()
+        .all(|has_primary| *has_primary))
 }
 
 /// Version of the table in force on a node; 0 if it has none.
@@ -76,7 +78,7 @@
     Ok(version.transpose()?.unwrap_or(0))
 }
 
-/// Client addresses of the live members a node knows, itself included.
+/// Client addresses of the live members that a node knows, itself included.
 pub async fn live_nodes(node: &str) -> Result<Vec<String>> {
     let client = connect(node).await?;
     let rows = show(&client, "NODES").await?;
--- a/crates/linkhold/src/cli/table.rs
+++ b/crates/linkhold/src/cli/table.rs
@@ -13,10 +13,10 @@
 use crate::platform::PlatformClient;
 use crate::table_editor::{Edit, EditOutcome};
 
-/// Longest wait for an edit to be in force on all nodes.
+/// Longest wait until an edit is in force on all nodes.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
 const WAIT_PAUSE: Duration = Duration::from_millis(100);
-/// Comment that `table show` writes and `table apply` reads.
+/// Start of the comment that `table show` writes and `table apply` reads.
 const VERSION_COMMENT: &str = "# version=";
 
 /// The subcommand.
@@ -227,7 +227,8 @@
     }
 }
 
-/// Waits until every live node that the given ones know of has the version.
+/// Waits until the given nodes and every live node that they know have the version
+/// in force.
 async fn wait_in_force(version: u64, nodes: &[&String]) -> Result<u8> {
     let start = Instant::now();
     loop {
@@ -277,7 +278,7 @@
     }
 }
 
-/// Version named by the comment of `table show`.
+/// Version in the comment that `table show` writes; `None` without a comment.
 fn base_of(text: &str) -> Option<u64> {
     let line = text
         .lines()
--- a/crates/linkhold/src/console.rs
+++ b/crates/linkhold/src/console.rs
@@ -22,7 +22,7 @@
 const FEATURE_NOT_SUPPORTED: &str = "0A000";
 const HELP: &str = "commands: SHOW POOLS, SHOW GROUPS, SHOW TABLE, SHOW NODES, SHOW STATS, SHOW VERSION, SHOW HELP";
 
-/// A result to be shown.
+/// Result of a `SHOW` command.
 struct Listing {
     columns: Vec<&'static str>,
     rows: Vec<Vec<String>>,
@@ -30,11 +30,11 @@
 
 /// Serves a console session to its end.
 pub async fn run(node: &Arc<NodeShared>, stream: &mut TcpStream, reader: &mut FrameReader) {
-    // A console session that fails has nobody left to tell.
-    let _ = converse(node, stream, reader).await;
+    // Errors are ignored: the operator's connection has failed.
+    let _ = serve_session(node, stream, reader).await;
 }
 
-async fn converse(
+async fn serve_session(
     node: &Arc<NodeShared>,
     stream: &mut TcpStream,
     reader: &mut FrameReader,
--- a/crates/linkhold/src/housekeeping.rs
+++ b/crates/linkhold/src/housekeeping.rs
@@ -1,5 +1,5 @@
-//! Regular work of a node that no request asks for: reporting refusals and
-//! removing expired request keys.
+//! Periodic background work of a node: reports refusals and removes expired
+//! request keys.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::log_event::{Event, EventName};
 use crate::node::NodeShared;
 
-/// How often refusals are reported, if there were any.
+/// How often refusals are reported, if there are any.
 const REPORT_PERIOD: Duration = Duration::from_secs(10);
 const REFUSAL_PREFIX: &str = "not_run_";
 
@@ -38,8 +38,8 @@
     }
 }
 
-/// Deletes request keys past their retention, at the primary of each
-/// database. Of a fleet, one node on average does so in each period.
+/// Deletes request keys past their retention, at the primary of each database.
+/// For each database, one node of the fleet on average does so in each period.
 pub async fn remove_expired_keys(node: Arc<NodeShared>) {
     let period = node.settings.key_cleanup_interval;
     loop {
@@ -49,7 +49,7 @@
             if !is_chosen {
                 continue;
             }
-            if let Ok(count) = remove_from(group).await
+            if let Ok(count) = remove_expired_keys_of(group).await
                 && count > 0
             {
                 Event::info(EventName::KeysRemoved)
@@ -61,9 +61,9 @@
     }
 }
 
-/// Deletes expired keys of one database, if its primary has a slot to spare
-/// and the table of keys exists. Returns how many.
-async fn remove_from(group: &GroupHandle) -> Result<u64, BackendError> {
+/// Deletes expired keys of one database, if its primary has a free slot. Returns
+/// how many. Fails if the table of keys does not exist.
+async fn remove_expired_keys_of(group: &GroupHandle) -> Result<u64, BackendError> {
     let Some(primary) = group.usable_primary(&group.view()) else {
         return Ok(0);
     };
--- a/crates/linkhold/src/lib.rs
+++ b/crates/linkhold/src/lib.rs
@@ -1,9 +1,9 @@
 //! The linkhold node: a PostgreSQL proxy with session consistency.
 //!
-//! [`node::Node`] ties the parts together. Slow-changing state (the table, a
-//! database group's view) is owned by actors and published as immutable
-//! snapshots; the path of a statement reads snapshots and takes permits, and
-//! never waits on a mailbox.
+//! [`node::Node`] connects the modules. State that changes rarely (the table, a
+//! database group's view) is owned by actors and published as immutable snapshots.
+//! Running a statement reads snapshots and takes permits, and never waits for an
+//! actor's mailbox.
 
 pub mod backend;
 pub mod benchmark;
--- a/crates/linkhold/src/log_event.rs
+++ b/crates/linkhold/src/log_event.rs
@@ -1,8 +1,8 @@
-//! Log events: one line of key=value pairs each.
+//! Log events: each is one line of key=value pairs.
 //!
-//! Event names and keys are fixed and listed in `docs/LOGS.md`. Values that
-//! hold anything but plain word characters are quoted and escaped, so that a
-//! caller's text cannot forge a line or a key.
+//! Event names and keys are fixed and listed in `docs/LOGS.md`. Values with other
+//! than plain word characters are quoted and escaped, so that a caller's text
+//! cannot forge a line or a key.
 
 use std::fmt::{Display, Write};
 use std::time::SystemTime;
@@ -16,15 +16,15 @@
 /// Names of all events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventName {
-    /// The node listens.
+    /// The node accepts connections.
     NodeStarted,
     /// The node announced that it leaves.
     NodeLeaving,
     /// The node has ended all sessions.
     NodeStopped,
-    /// Another primary is confirmed, or none.
+    /// A new primary is confirmed, or no primary is confirmed any more.
     PrimaryChanged,
-    /// A higher term was seen.
+    /// An instance reported a higher term.
     TermChanged,
     /// An instance started or stopped answering.
     InstanceReachable,
@@ -32,23 +32,23 @@
     TableInForce,
     /// A table was refused.
     TableRefused,
-    /// The table store cannot be read, or can be read again.
+    /// The table store became unreachable or reachable.
     StoreReachable,
-    /// A back end's row changed its state.
+    /// The state in a back end's table row changed.
     BackendState,
     /// A back end connection could not be made.
     ConnectFailed,
-    /// Refusals since the last report, by reason.
+    /// Number of refusals since the last report, by reason.
     Refusals,
-    /// Outcomes that stayed unknown.
+    /// A request's outcome remained unknown.
     UnknownOutcome,
     /// A caller broke the protocol.
     ProtocolViolation,
     /// Request keys past their retention were deleted.
     KeysRemoved,
-    /// The platform lists a machine as leaving, or no longer.
+    /// The platform started or stopped listing a machine as leaving.
     MachineLeaving,
-    /// A member of the fleet changed its state.
+    /// The state of a fleet member changed.
     MemberChanged,
 }
 
@@ -126,7 +126,7 @@
 
     /// Adds a key and a value.
     pub fn field(mut self, key: &'static str, value: impl Display) -> Self {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(self.line, " {key}={}", quoted(&value.to_string()));
         self
     }
@@ -136,7 +136,7 @@
         log::log!(self.level, "{}", self.line);
     }
 
-    /// The line as it would be logged.
+    /// The log line so far.
     pub fn line(&self) -> &str {
         &self.line
     }
@@ -153,6 +153,6 @@
         .set_location_level(LevelFilter::Off)
         .add_filter_allow_str("linkhold")
         .build();
-    // A second logger in one process is refused; the first one stays.
+    // A second logger in one process is refused; the first one remains.
     let _ = WriteLogger::init(level, config, std::io::stderr());
 }
--- a/crates/linkhold/src/machine_list.rs
+++ b/crates/linkhold/src/machine_list.rs
@@ -1,8 +1,8 @@
-//! The platform's machine list: back ends that leave, and nodes to be found.
+//! The platform's machine list: leaving back ends, and addresses of nodes.
 //!
-//! The list lags and is only a hint: it can keep new work away from an
-//! instance that the table still calls active, and nothing else. While it
-//! cannot be read, what it said last stays.
+//! The list lags and is only a hint: it can keep new work away from an instance
+//! that the table still lists as active, and nothing else. While the list cannot
+//! be read, its last content remains in effect.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 /// Addresses of leaving machines, readable without waiting.
 pub type LeavingMachines = Arc<ArcSwap<HashSet<SocketAddr>>>;
 
-/// Reads the list again and again, for ever.
+/// Reads the list periodically, without end.
 pub async fn follow(
     client: PlatformClient,
     poll: Duration,
@@ -30,7 +30,7 @@
         if let Ok(machines) = client.machines().await {
             let nodes = machines.iter().filter_map(|machine| machine.peer).collect();
             if let Some(membership) = &membership {
-                // The owner is gone only when the node ends.
+                // The actor stops only when the node ends.
                 let _ = membership.tell(AddSeeds(nodes)).await;
             }
             let listed = machines
--- a/crates/linkhold/src/metrics.rs
+++ b/crates/linkhold/src/metrics.rs
@@ -24,7 +24,7 @@
     pub probes: AtomicU64,
     /// Datagrams sent to other nodes.
     pub peer_messages_sent: AtomicU64,
-    /// Their bytes, without headers.
+    /// Bytes of these datagrams, without headers.
     pub peer_bytes_sent: AtomicU64,
     /// Datagrams dropped as foreign, forged or malformed.
     pub peer_messages_dropped: AtomicU64,
@@ -53,7 +53,7 @@
     Unknown::TimedOut,
 ];
 
-/// Durations in buckets of powers of two, from one microsecond.
+/// Histogram of durations, in buckets of powers of two from one microsecond.
 #[derive(Debug, Default)]
 pub struct DurationHistogram {
     buckets: [AtomicU64; BUCKETS],
--- a/crates/linkhold/src/node.rs
+++ b/crates/linkhold/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: its listener, its shared state and its orderly end.
+//! A node: its listener, its shared state and its graceful stop.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,10 +26,10 @@
 use crate::settings::{Settings, TableSource};
 use crate::table_actor::{AbortOnDropHandle, TableActor, TableSnapshot, read_source};
 
-/// Reported to callers until a back end has told its own version.
+/// Server version reported to callers until a back end has reported its own.
 const DEFAULT_SERVER_VERSION: &str = "16.0 (linkhold)";
 
-/// What all sessions of a node share.
+/// State shared by all sessions of a node.
 pub struct NodeShared {
     /// Settings.
     pub settings: Arc<Settings>,
@@ -39,7 +39,7 @@
     pub directory: Directory,
     /// Table in force.
     pub table: TableSnapshot,
-    /// Nodes of the fleet, this one first; empty if it stands alone.
+    /// Nodes of the fleet, this one first; empty if the node has no peers.
     pub members: MemberSnapshot,
     /// Sessions that can be cancelled.
     pub cancels: CancelRegistry,
@@ -49,12 +49,12 @@
     pub token_key: TokenKey,
     /// Limits retries.
     pub retry_budget: SharedRetryBudget,
-    /// True once the node leaves.
+    /// Whether the node leaves.
     pub leaving: watch::Sender<bool>,
 }
 
 impl NodeShared {
-    /// Version to report for a database.
+    /// Server version to report for a database.
     pub fn server_version(&self, database: &str) -> String {
         let group = self.directory.get(database);
         let reported = group.and_then(|group| {
@@ -70,12 +70,12 @@
 pub struct SharedRetryBudget(Mutex<RetryBudget>);
 
 impl SharedRetryBudget {
-    /// A request was answered.
+    /// Adds the credit of an answered request.
     pub fn earn(&self) {
         self.budget().earn();
     }
 
-    /// Takes the price of a retry.
+    /// Takes the cost of a retry; returns `false` if the budget does not cover it.
     pub fn try_spend(&self) -> bool {
         self.budget().try_spend()
     }
@@ -91,9 +91,10 @@
     entries: Mutex<HashMap<u128, Arc<Classified>>>,
 }
 
-/// Statements kept in the cache.
+/// Statements kept in the cache; a full cache is emptied.
 const CACHE_ENTRIES: usize = 8_192;
-/// Longer texts are classified each time.
+/// Longest statement text that is cached, in bytes; longer texts are classified
+/// each time.
 const LONGEST_CACHED: usize = 4_096;
 
 impl StatementCache {
@@ -120,7 +121,7 @@
     }
 }
 
-/// A running node. Dropping it ends it at once, as a crash would.
+/// A running node. Dropping it ends the node at once, as a crash would.
 pub struct Node {
     shared: Arc<NodeShared>,
     address: SocketAddr,
@@ -221,17 +222,17 @@
         })
     }
 
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where other nodes reach this one, if it has peers.
+    /// Address at which other nodes reach this one; `None` without peers.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.peers.as_ref().map(|peers| peers.address)
     }
 
-    /// State shared by its sessions.
+    /// State shared by the node's sessions.
     pub fn shared(&self) -> &Arc<NodeShared> {
         &self.shared
     }
@@ -243,9 +244,9 @@
         let _ = changes.wait_for(|known| *known >= version).await;
     }
 
-    /// Ends the node in order: no new sessions, and each session ends between
-    /// requests and outside a transaction. After the drain time-out what is
-    /// left is ended as it stands.
+    /// Stops the node gracefully: it accepts no new sessions, and each session ends
+    /// between requests and outside a transaction. Sessions still open after the
+    /// drain time-out are aborted.
     pub async fn stop(mut self) {
         Event::info(EventName::NodeLeaving)
             .field("node", &self.shared.settings.node)
@@ -284,7 +285,7 @@
     }
 }
 
-/// Puts each table version in force as it is read.
+/// Puts each table version in force once it has been read.
 async fn apply_tables(
     shared: Arc<NodeShared>,
     mut changes: watch::Receiver<u64>,
@@ -297,7 +298,7 @@
     }
 }
 
-/// Accepts sessions until the node leaves; returns those still running.
+/// Accepts sessions until the node leaves; returns the sessions still running.
 async fn accept(shared: Arc<NodeShared>, listener: TcpListener) -> JoinSet<()> {
     let mut sessions = JoinSet::new();
     let mut leaving = shared.leaving.subscribe();
--- a/crates/linkhold/src/peer/membership_actor.rs
+++ b/crates/linkhold/src/peer/membership_actor.rs
@@ -1,5 +1,5 @@
-//! Owner of a node's membership: drives the state machine with datagrams and
-//! time, and sends what it wants sent.
+//! Actor that owns a node's membership: drives the state machine with datagrams
+//! and time, and sends the messages that it returns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 use crate::metrics::{Metrics, count};
 use crate::table_actor::{GetAnnouncement, PeerAnnounced, PeerResponded, TableActor};
 
-/// How often time is passed to the state machine; far below its periods.
+/// How often the state machine is given the time; much shorter than its periods.
 const TICK: Duration = Duration::from_millis(50);
 /// Nodes of a fleet that read the store.
 const TABLE_READERS: usize = 3;
@@ -59,10 +59,10 @@
 /// This node is about to stop.
 pub struct Leave;
 
-/// Addresses at which other nodes may be found; hints only.
+/// Addresses at which other nodes may be reached; they are only hints.
 pub struct AddSeeds(pub Vec<SocketAddr>);
 
-/// Starts the owner and the tasks that feed it.
+/// Starts the actor and the tasks that send messages to it.
 pub fn start(
     socket: Arc<UdpSocket>,
     address: SocketAddr,
@@ -84,7 +84,7 @@
         context.peer.seeds,
         Duration::ZERO,
     );
-    let owner = MembershipActor {
+    let state = MembershipActor {
         membership,
         started: Instant::now(),
         socket: socket.clone(),
@@ -94,8 +94,8 @@
         table_actor: context.table_actor,
         metrics: context.metrics,
     };
-    owner.publish();
-    let actor = MembershipActor::spawn(owner);
+    state.publish();
+    let actor = MembershipActor::spawn(state);
     tasks.spawn(receive(socket, actor.clone()));
     tasks.spawn(tick(actor.clone()));
     tasks.spawn(follow_table(context.table_changes, actor.clone()));
@@ -103,10 +103,10 @@
 }
 
 async fn receive(socket: Arc<UdpSocket>, actor: ActorRef<MembershipActor>) {
-    // One byte more than allowed, so that a longer datagram is noticed.
+    // One byte longer than the limit, so that a datagram over the limit is detected.
     let mut buffer = vec![0; MAX_DATAGRAM + 1];
     loop {
-        // Errors come from earlier sends to closed ports and say nothing here.
+        // Errors come from earlier sends to closed ports; ignore them.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
@@ -144,7 +144,7 @@
         self.started.elapsed()
     }
 
-    async fn finish(&mut self, output: Output) {
+    async fn apply_output(&mut self, output: Output) {
         for change in &output.changes {
             Event::info(EventName::MemberChanged)
                 .field("member", change.node)
@@ -161,7 +161,7 @@
             self.metrics
                 .peer_bytes_sent
                 .fetch_add(bytes.len() as u64, Ordering::Relaxed);
-            // A lost datagram is like one lost on the network.
+            // A failed send is treated like a datagram lost on the network.
             let _ = self.socket.send_to(&bytes, send.to).await;
         }
     }
@@ -184,7 +184,7 @@
             let Some(response) = fetch(from, request, &key).await else {
                 return;
             };
-            // The owner is gone only when the node ends.
+            // The actor stops only when the node ends.
             let _ = table_actor.tell(PeerResponded(response)).await;
         });
     }
@@ -199,7 +199,7 @@
             return;
         }
         let output = self.membership.on_tick(now, &mut rand::rng());
-        self.finish(output).await;
+        self.apply_output(output).await;
     }
 }
 
@@ -216,7 +216,7 @@
         };
         let now = self.now();
         let output = self.membership.on_message(&message, now, &mut rand::rng());
-        self.finish(output).await;
+        self.apply_output(output).await;
         let announced = PeerAnnounced {
             from: message.from.address,
             announcement: message.announcement,
--- a/crates/linkhold/src/peer/mod.rs
+++ b/crates/linkhold/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes among themselves: membership over UDP, tables over TCP on the same
+//! Communication between nodes: membership over UDP, tables over TCP on the same
 //! port.
 
 mod membership_actor;
@@ -22,22 +22,22 @@
 use crate::table_actor::TableActor;
 pub use membership_actor::{AddSeeds, Leave, MembershipActor, state_name};
 
-/// Members as a node sees them, itself first; readable without waiting.
+/// Members known to a node, itself first; readable without waiting.
 pub type MemberSnapshot = Arc<ArcSwap<Vec<MemberRecord>>>;
 
-/// Longest time a leaving node keeps telling so before it stops.
-const LEAVE_TIME: Duration = Duration::from_millis(600);
+/// How long a leaving node announces that it leaves before it stops.
+const LEAVE_NOTICE_TIME: Duration = Duration::from_millis(600);
 
 /// The sockets of a node's peer port, bound before anything else starts.
 pub struct PeerSockets {
     datagrams: UdpSocket,
     streams: TcpListener,
-    /// Where they listen.
+    /// Address that both sockets listen on.
     pub address: SocketAddr,
 }
 
 impl PeerSockets {
-    /// Binds both sockets to one port; port 0 means a free one.
+    /// Binds both sockets to one port; port 0 means any free port.
     pub async fn bind(wanted: SocketAddr) -> std::io::Result<Self> {
         const ATTEMPTS: usize = 20;
         let mut last_error = None;
@@ -52,7 +52,7 @@
                         address,
                     });
                 }
-                // The free port of one kind may be taken for the other.
+                // A port that is free for TCP may be in use for UDP.
                 Err(error) if wanted.port() == 0 => last_error = Some(error),
                 Err(error) => return Err(error),
             }
@@ -63,26 +63,26 @@
 
 /// The running peer services of a node. Dropping it ends them at once.
 pub struct PeerService {
-    /// Where other nodes reach this one.
+    /// Address at which other nodes reach this one.
     pub address: SocketAddr,
-    /// Owner of the membership.
+    /// Actor that owns the membership.
     pub membership: ActorRef<MembershipActor>,
     _tasks: JoinSet<()>,
 }
 
-/// What the peer services work with.
+/// Context of the peer services.
 pub struct PeerContext {
     /// Settings of the node.
     pub settings: Arc<Settings>,
     /// Peer settings.
     pub peer: PeerSettings,
-    /// Where the node serves callers.
+    /// Address that callers connect to.
     pub client_address: SocketAddr,
-    /// Owner of the table.
+    /// Actor that owns the table.
     pub table_actor: ActorRef<TableActor>,
-    /// Versions as they come into force.
+    /// Newest table version in force.
     pub table_changes: watch::Receiver<u64>,
-    /// Members, for others to read.
+    /// Members, published for the rest of the node.
     pub members: MemberSnapshot,
     /// Whether this node reads the store.
     pub is_reader: Arc<AtomicBool>,
@@ -109,10 +109,10 @@
         }
     }
 
-    /// Tells the other nodes that this one leaves.
+    /// Announces to the other nodes that this one leaves, for [`LEAVE_NOTICE_TIME`].
     pub async fn leave(&self) {
-        // The owner lives as long as the service.
+        // The actor runs as long as the service.
         let _ = self.membership.tell(Leave).await;
-        tokio::time::sleep(LEAVE_TIME).await;
+        tokio::time::sleep(LEAVE_NOTICE_TIME).await;
     }
 }
--- a/crates/linkhold/src/peer/table_exchange.rs
+++ b/crates/linkhold/src/peer/table_exchange.rs
@@ -12,11 +12,11 @@
 
 use crate::table_actor::{PeerRequested, TableActor};
 
-/// Longest time an exchange may take.
+/// Longest time that an exchange may take.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest request.
+/// Longest request, in bytes.
 const MAX_REQUEST: usize = 256;
-/// Requests served at once; more are dropped and come again elsewhere.
+/// Requests served at once. More are dropped; their senders ask another node.
 const MAX_SERVED: usize = 64;
 
 /// Serves requests until its task is dropped.
@@ -32,7 +32,7 @@
         }
         let serving = serve_one(stream, table_actor.clone(), key.clone());
         exchanges.spawn(async move {
-            // A request that fails is made again by the node that needs it.
+            // The node that needs the table repeats a failed request.
             let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, serving).await;
         });
     }
@@ -52,7 +52,7 @@
     write_message(&mut stream, &answer).await
 }
 
-/// Asks a node for its table; `None` if no usable answer comes.
+/// Requests a node's table; returns `None` if no usable answer arrives.
 pub async fn fetch(
     from: SocketAddr,
     request: TableRequest,
@@ -79,9 +79,9 @@
     stream.write_all(bytes).await.ok()
 }
 
-async fn read_message(stream: &mut TcpStream, most: usize) -> Option<Vec<u8>> {
+async fn read_message(stream: &mut TcpStream, max_length: usize) -> Option<Vec<u8>> {
     let length = usize::try_from(stream.read_u32().await.ok()?).ok()?;
-    if length > most {
+    if length > max_length {
         return None;
     }
     let mut bytes = vec![0; length];
--- a/crates/linkhold/src/platform.rs
+++ b/crates/linkhold/src/platform.rs
@@ -7,20 +7,20 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Time after which a request to the platform counts as failed.
+/// Time after which a request to the platform fails.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a request to the platform failed.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// No usable answer; an edit may or may not have taken effect.
+    /// No usable answer arrived; an edit may or may not have taken effect.
     #[error("the platform did not answer: {0}")]
     NoAnswer(String),
-    /// The table has moved on since the expected version.
-    #[error("the table has moved on")]
+    /// The expected version is no longer the newest.
+    #[error("the table has a newer version than expected")]
     Conflict,
     /// The version does not exist.
-    #[error("no such version")]
+    #[error("the version does not exist")]
     NotFound,
 }
 
@@ -31,7 +31,7 @@
     pub version: u64,
     /// Identity of the edit that made it.
     pub edit_id: String,
-    /// Who made it.
+    /// Author of the edit.
     pub author: String,
     /// CSV text.
     pub body: String,
@@ -42,9 +42,9 @@
 pub struct TableEdit {
     /// Version the edit was made from.
     pub expected_version: u64,
-    /// Identity, so that a lost answer can be resolved.
+    /// Identity, by which an edit whose answer was lost is found in the history.
     pub edit_id: String,
-    /// Who makes it.
+    /// Author of the edit.
     pub author: String,
     /// CSV text.
     pub body: String,
@@ -57,7 +57,7 @@
     pub version: u64,
     /// Identity of the edit.
     pub edit_id: String,
-    /// Who made it.
+    /// Author of the edit.
     pub author: String,
 }
 
@@ -67,18 +67,18 @@
 pub enum MachineState {
     /// In service.
     Live,
-    /// About to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
 /// A machine in the platform's list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Machine {
-    /// Address of what runs there.
+    /// Address of the service on the machine.
     pub address: SocketAddr,
-    /// Its state.
+    /// State of the machine.
     pub state: MachineState,
-    /// Peer address, if a node runs there.
+    /// Peer address, if a node runs on the machine.
     #[serde(default)]
     pub peer: Option<SocketAddr>,
 }
@@ -107,14 +107,14 @@
         }
     }
 
-    /// The newest version.
+    /// Reads the newest version.
     pub async fn read(&self) -> Result<TableVersion, PlatformError> {
         let response = self.client.get(&self.table_url).send().await;
         decode(checked(response)?).await
     }
 
-    /// The newest version, if it is newer than a known one. Costs next to
-    /// nothing if it is not.
+    /// Reads the newest version if it is newer than `known`; otherwise returns
+    /// `None` at very low cost, because the answer has no body.
     pub async fn read_newer(&self, known: u64) -> Result<Option<TableVersion>, PlatformError> {
         let request = self
             .client
@@ -127,7 +127,7 @@
         decode(response).await.map(Some)
     }
 
-    /// A given version.
+    /// Reads a given version.
     pub async fn read_version(&self, version: u64) -> Result<TableVersion, PlatformError> {
         let request = self
             .client
@@ -136,18 +136,19 @@
         decode(checked(request.send().await)?).await
     }
 
-    /// All versions.
+    /// Lists all versions.
     pub async fn history(&self) -> Result<Vec<HistoryEntry>, PlatformError> {
         let url = format!("{}/history", self.table_url);
         decode(checked(self.client.get(url).send().await)?).await
     }
 
-    /// The machines the platform lists. The list lags and is only a hint.
+    /// Lists the platform's machines. The list lags and is only a hint.
     pub async fn machines(&self) -> Result<Vec<Machine>, PlatformError> {
         decode(checked(self.client.get(&self.machines_url).send().await)?).await
     }
 
-    /// Stores an edit if its expected version is still the newest.
+    /// Stores an edit if its expected version is still the newest; otherwise fails
+    /// with [`PlatformError::Conflict`].
     pub async fn edit(&self, edit: &TableEdit) -> Result<TableVersion, PlatformError> {
         let request = self.client.put(&self.table_url).json(edit);
         decode(checked(request.send().await)?).await
--- a/crates/linkhold/src/settings/check.rs
+++ b/crates/linkhold/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks of settings.
+//! Parses and checks settings.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,7 +18,8 @@
 const SECONDS_PER_DAY: i64 = 86_400;
 const ADDRESS_MAP: &str = "address_map.";
 
-/// Parses and checks a settings file with flags over it.
+/// Parses and checks a settings file; flags override its keys. Fails with every
+/// finding.
 pub fn parse(text: &str, overrides: &Overrides) -> Result<Settings, Vec<Finding>> {
     let mut reader = Reader::new(text, overrides);
     let settings = Settings {
@@ -115,16 +116,16 @@
     reader.address(KEY, &text).unwrap_or(unspecified)
 }
 
-/// The `peer` section; without `peer.listen` the node stands alone.
+/// Reads the `peer` section; returns `None` without `peer.listen`.
 fn peer_settings(reader: &mut Reader) -> Option<PeerSettings> {
     let listen = reader.optional_text("peer.listen");
     let seeds = reader.text_or("peer.seeds", "");
     let key = reader.optional_text("peer.key");
     let Some(listen) = listen else {
-        for orphan in ["peer.seeds", "peer.key"] {
-            if reader.has(orphan) {
-                let line = reader.line_of_key(orphan);
-                reader.report(line, orphan, "has no effect without peer.listen");
+        for unused_key in ["peer.seeds", "peer.key"] {
+            if reader.has(unused_key) {
+                let line = reader.line_of_key(unused_key);
+                reader.report(line, unused_key, "has no effect without peer.listen");
             }
         }
         return None;
--- a/crates/linkhold/src/settings/mod.rs
+++ b/crates/linkhold/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! Settings of a node: a TOML file with flags over it.
+//! Settings of a node: a TOML file whose keys can be overridden by flags.
 //!
-//! Every finding is reported, with its line and key, before anything starts.
+//! Every finding is reported, with its line and key, before the node starts.
 
 mod check;
 mod reader;
@@ -25,7 +25,7 @@
         /// Name of the table.
         name: String,
     },
-    /// A CSV file, read again whenever it changes.
+    /// A CSV file, which is polled for changes.
     File(PathBuf),
 }
 
@@ -41,23 +41,24 @@
     PrimaryOnly,
 }
 
-/// How a node learns of another primary. Polling alone is a baseline for
-/// measurements.
+/// How a node detects a new primary. Polling alone is a baseline for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Detection {
-    /// A failed request and a waiting one each ask the instances at once.
+    /// By polling; in addition, failed and waiting requests probe the instances at
+    /// once.
     #[default]
     OnDemand,
-    /// Only the regular status queries tell.
+    /// Only by the periodic status queries.
     PollOnly,
 }
 
-/// How a node finds and trusts the others. Without it a node stands alone.
+/// How a node finds and authenticates other nodes. A node without peer settings has
+/// no peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
     /// Address for messages of other nodes, over UDP and TCP.
     pub listen: SocketAddr,
-    /// Addresses of nodes to ask for the others.
+    /// Addresses of nodes from which to learn of the others.
     pub seeds: Vec<SocketAddr>,
     /// Key that authenticates messages; the same on every node.
     pub key: String,
@@ -68,9 +69,9 @@
 pub struct Settings {
     /// Name of the node, unique in the fleet.
     pub node: String,
-    /// Zone the node stands in.
+    /// Zone of the node.
     pub zone: String,
-    /// Address callers connect to.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
     /// The other nodes, if there are any.
     pub peer: Option<PeerSettings>,
@@ -82,11 +83,11 @@
     pub token_key: String,
     /// User name on back ends.
     pub backend_user: String,
-    /// Status query; answers `current_term log_term log_index role`.
+    /// Status query; its answer is `current_term log_term log_index role`.
     pub status_query: String,
     /// Longest wait for a status answer.
     pub probe_timeout: Duration,
-    /// Time between status queries when no request asks for one.
+    /// Time between status queries when no request demands one.
     pub probe_interval: Duration,
     /// Longest wait for a connection to a back end.
     pub connect_timeout: Duration,
@@ -104,18 +105,18 @@
     pub key_cleanup_interval: Duration,
     /// Longest time sessions may take to end when the node leaves.
     pub drain_timeout: Duration,
-    /// What the database group promises when a commit returns.
+    /// Which instances hold a commit when it returns.
     pub commit_promise: CommitPromise,
-    /// Whether requests share rounds of status queries. Off only to measure
-    /// what sharing saves. Not a key of the file.
+    /// Whether requests share rounds of status queries. Set to `false` only to
+    /// measure what sharing saves. Not a key of the file.
     pub share_rounds: bool,
-    /// How a node learns of another primary. Not a key of the file.
+    /// How a node detects a new primary. Not a key of the file.
     pub detection: Detection,
     /// How reads are routed.
     pub read_policy: ReadPolicy,
-    /// Seconds added to the clock when an hour column is looked up, for
+    /// Seconds added to the clock when a weight is looked up by the hour, for
     /// rehearsing a table.
     pub hour_offset: i64,
-    /// Addresses to dial in place of those in the table.
+    /// Addresses to connect to in place of those in the table.
     pub address_map: HashMap<SocketAddr, SocketAddr>,
 }
--- a/crates/linkhold/src/settings/reader.rs
+++ b/crates/linkhold/src/settings/reader.rs
@@ -8,14 +8,14 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// Something wrong in a settings file, and where.
+/// An error in the settings and its place.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// Line, from 1; 0 for a flag or a missing key.
     pub line: usize,
     /// Key with its section, such as `backend.user`.
     pub key: String,
-    /// What is wrong and what is allowed.
+    /// Description of the error and of the allowed values.
     pub message: String,
 }
 
@@ -28,10 +28,10 @@
     }
 }
 
-/// Values given as flags, by key; they win over the file.
+/// Values given as flags, by key; they override the file.
 pub type Overrides = BTreeMap<String, String>;
 
-/// A value and the line it stands on.
+/// A value and its line.
 struct Entry {
     line: usize,
     value: Value,
@@ -43,7 +43,7 @@
     Other,
 }
 
-/// Keys of a document, taken one by one; what is left over is unknown.
+/// Keys of a document. A key that is never read is reported as unknown.
 pub struct Reader {
     entries: BTreeMap<String, Entry>,
     known: Vec<&'static str>,
@@ -52,7 +52,7 @@
 }
 
 impl Reader {
-    /// Parses a document.
+    /// Parses a document and applies the overrides.
     pub fn new(text: &str, overrides: &Overrides) -> Self {
         let mut reader = Self {
             entries: BTreeMap::new(),
@@ -101,7 +101,7 @@
         });
     }
 
-    /// Line of a key that has been given, or 0.
+    /// Line of a key; 0 if the key is a flag or missing.
     pub fn line_of_key(&self, key: &str) -> usize {
         self.entries.get(key).map_or(0, |entry| entry.line)
     }
@@ -111,7 +111,8 @@
         self.entries.contains_key(key)
     }
 
-    /// A text, or `None` if it is missing.
+    /// Reads a text; returns `None` if it is missing. Reports a value that is not a
+    /// text.
     pub fn optional_text(&mut self, key: &'static str) -> Option<String> {
         self.known.push(key);
         let entry = self.entries.get(key)?;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// A text that must be given.
+    /// Reads a required text. Reports a missing key and returns an empty text.
     pub fn text(&mut self, key: &'static str) -> String {
         let given = self.has(key);
         let text = self.optional_text(key);
@@ -136,13 +137,14 @@
         text.unwrap_or_default()
     }
 
-    /// A text with a default.
+    /// Reads a text with a default.
     pub fn text_or(&mut self, key: &'static str, default: &str) -> String {
         self.optional_text(key)
             .unwrap_or_else(|| default.to_owned())
     }
 
-    /// An IP address and port given as the text of a key.
+    /// Parses the text of a key as an IP address and port. Reports any other text and
+    /// returns `None`.
     pub fn address(&mut self, key: &str, text: &str) -> Option<SocketAddr> {
         let address = text.parse().ok();
         if address.is_none() {
@@ -154,7 +156,8 @@
         address
     }
 
-    /// A whole number within bounds, with a default.
+    /// Reads a whole number within bounds, with a default. Reports any other value
+    /// and returns the default.
     pub fn number_or(&mut self, key: &'static str, default: i64, least: i64, most: i64) -> i64 {
         self.known.push(key);
         let Some(entry) = self.entries.get(key) else {
@@ -171,7 +174,8 @@
         }
     }
 
-    /// One of a few words, with a default (the first).
+    /// Reads one of a few words; the first is the default. Reports any other word and
+    /// returns the default.
     pub fn choice<T: Copy>(&mut self, key: &'static str, choices: &[(&str, T)]) -> T {
         let (_, default) = choices[0];
         let Some(text) = self.optional_text(key) else {
@@ -189,7 +193,8 @@
         }
     }
 
-    /// All texts below a section, by the rest of their key.
+    /// Reads all texts of a section: their lines, keys without the prefix, and
+    /// values.
     pub fn section(&mut self, prefix: &str) -> Vec<(usize, String, String)> {
         let mut found = Vec::new();
         for (key, entry) in &self.entries {
@@ -203,7 +208,8 @@
         found
     }
 
-    /// Reports every key that nothing asked for.
+    /// Reports every key that was not read and is in none of the sections. Returns
+    /// all findings, sorted.
     pub fn finish(mut self, sections: &[&str]) -> Vec<Finding> {
         let unknown: Vec<(usize, String)> = self
             .entries
--- a/crates/linkhold/src/table_actor.rs
+++ b/crates/linkhold/src/table_actor.rs
@@ -1,5 +1,5 @@
-//! Keeps the table in force: takes versions from the source and from other
-//! nodes, checks them and publishes each newer one. A version is never
+//! Actor that owns the table in force: takes versions from the source and from
+//! other nodes, checks them and publishes each newer one. A version is never
 //! replaced by a lower one.
 
 use std::convert::Infallible;
@@ -22,8 +22,8 @@
 use crate::platform::PlatformClient;
 use crate::settings::TableSource;
 
-/// How often a node that is no reader reads the store all the same, in case
-/// it hears of no other node.
+/// How often a node that is not a reader still reads the store, in case it knows no
+/// other node.
 const FALLBACK_PERIOD: Duration = Duration::from_secs(60);
 
 /// A table version in force.
@@ -33,7 +33,7 @@
     pub version: u64,
     /// The cells.
     pub sheet: Arc<Sheet>,
-    /// What they mean.
+    /// The topology that the cells define.
     pub topology: Topology,
 }
 
@@ -44,7 +44,7 @@
 pub struct AbortOnDropHandle(JoinHandle<()>);
 
 impl AbortOnDropHandle {
-    /// Takes charge of a task.
+    /// Takes ownership of a task.
     pub fn new(task: JoinHandle<()>) -> Self {
         Self(task)
     }
@@ -84,12 +84,12 @@
     pub reason: String,
 }
 
-/// Another node told its version. Answered with whom to ask for it, if it is
-/// to be asked.
+/// Another node announced its version. Answered with the node to request a table
+/// from and the request, or `None` if no request is due.
 pub struct PeerAnnounced {
     /// The node.
     pub from: SocketAddr,
-    /// What it told.
+    /// What it announced.
     pub announcement: Announcement,
 }
 
@@ -99,7 +99,7 @@
 /// Another node answered a request.
 pub struct PeerResponded(pub TableResponse);
 
-/// Asks what this node announces.
+/// Asks for the announcement of this node.
 pub struct GetAnnouncement;
 
 /// A started table actor.
@@ -108,7 +108,7 @@
     pub actor: ActorRef<TableActor>,
     /// The table in force.
     pub snapshot: TableSnapshot,
-    /// Versions as they come into force.
+    /// Newest version in force.
     pub changes: watch::Receiver<u64>,
 }
 
@@ -132,8 +132,9 @@
         }
     }
 
-    /// A version from the store, which operators may have written by hand.
-    fn take_stored(&mut self, version: u64, body: &str) {
+    /// Takes a version from the store. Operators may have written it by hand, so it
+    /// is checked first.
+    fn take_from_store(&mut self, version: u64, body: &str) {
         let checked = Sheet::parse(body).and_then(|sheet| {
             let topology = check(&sheet)?;
             Ok((sheet, topology))
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A version from another node, which has checked it.
+    /// Takes a version from another node, which has checked it.
     fn take_from_peer(&mut self, response: TableResponse) {
         match self.spread.on_response(response) {
             Some(SpreadAction::InForce(version)) => match check(self.spread.sheet()) {
@@ -189,7 +190,7 @@
         }
     }
 
-    fn note_reachable(&mut self, reachable: bool, reason: &str) {
+    fn record_reachability(&mut self, reachable: bool, reason: &str) {
         if self.source_reachable == reachable {
             return;
         }
@@ -205,10 +206,10 @@
     type Reply = ();
 
     async fn handle(&mut self, message: VersionRead, _: &mut Context<Self, Self::Reply>) {
-        self.note_reachable(true, "");
+        self.record_reachability(true, "");
         let newest = self.spread.version().max(self.refused_version);
         if message.version > newest {
-            self.take_stored(message.version, &message.body);
+            self.take_from_store(message.version, &message.body);
         }
     }
 }
@@ -217,7 +218,7 @@
     type Reply = ();
 
     async fn handle(&mut self, _: SourceAnswered, _: &mut Context<Self, Self::Reply>) {
-        self.note_reachable(true, "");
+        self.record_reachability(true, "");
     }
 }
 
@@ -225,7 +226,7 @@
     type Reply = ();
 
     async fn handle(&mut self, message: SourceFailed, _: &mut Context<Self, Self::Reply>) {
-        self.note_reachable(false, &message.reason);
+        self.record_reachability(false, &message.reason);
     }
 }
 
@@ -280,8 +281,9 @@
     }
 }
 
-/// Reads the source again and again until the actor is gone. The store is
-/// read by the few nodes whose duty it is, and by any node without a table.
+/// Reads the source periodically until the actor has stopped. The store is read by
+/// the few nodes with that duty, by any node without a table, and by every node
+/// after [`FALLBACK_PERIOD`] without a read.
 pub async fn read_source(
     source: TableSource,
     poll: Duration,
@@ -320,7 +322,7 @@
                             .await
                             .is_ok()
                     }
-                    Err(error) => tell_failure(&table_actor, error.to_string()).await,
+                    Err(error) => report_failure(&table_actor, error.to_string()).await,
                 };
                 if !delivered {
                     return;
@@ -345,10 +347,10 @@
             table_actor.tell(message).await.is_ok()
         }
         Ok(None) => table_actor.tell(SourceAnswered).await.is_ok(),
-        Err(error) => tell_failure(table_actor, error.to_string()).await,
+        Err(error) => report_failure(table_actor, error.to_string()).await,
     }
 }
 
-async fn tell_failure(table_actor: &ActorRef<TableActor>, reason: String) -> bool {
+async fn report_failure(table_actor: &ActorRef<TableActor>, reason: String) -> bool {
     table_actor.tell(SourceFailed { reason }).await.is_ok()
 }
--- a/crates/linkhold/src/table_editor.rs
+++ b/crates/linkhold/src/table_editor.rs
@@ -1,5 +1,5 @@
-//! Editing of the table in the store: compare-and-set, rebase onto newer
-//! versions, and lost answers resolved by reading back.
+//! Edits the table in the store: by compare-and-set, with a rebase onto newer
+//! versions, and by reading back when an answer is lost.
 
 use std::time::Duration;
 
@@ -8,40 +8,40 @@
 
 use crate::platform::{PlatformClient, PlatformError, TableEdit, TableVersion};
 
-/// Tries of an edit before it is given up: each is lost to another editor or
-/// to an answer that did not come.
+/// Attempts before an edit is given up. An attempt fails if another edit is stored
+/// first or if no answer arrives.
 const EDIT_ATTEMPTS: usize = 20;
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// An edit on its way into the store.
+/// An edit to be stored.
 pub struct Edit {
     /// Version the operator worked from.
     pub base_version: u64,
-    /// What the operator made of it.
+    /// The edited table.
     pub edited: Sheet,
-    /// Who.
+    /// Author recorded with the edit.
     pub author: String,
-    /// Identity; a repeated request with it is harmless.
+    /// Identity of the edit, which makes a repeated request harmless.
     pub edit_id: String,
 }
 
-/// What became of an edit.
+/// Result of an edit.
 #[derive(Debug)]
 pub enum EditOutcome {
     /// Stored as this version.
     Stored(u64),
     /// Another edit changed the same cells.
     Conflicts {
-        /// Version that has them.
+        /// Version with the other edit.
         version: u64,
-        /// The cells.
+        /// The conflicting cells.
         conflicts: Vec<Conflict>,
     },
-    /// Together with edits made meanwhile the table would be wrong.
+    /// Merged with edits made in the meantime, the table would be invalid.
     Findings {
         /// Newest of those edits.
         version: u64,
-        /// What would be wrong.
+        /// The findings of the merged table.
         findings: Vec<Finding>,
     },
     /// The store gave no clear answer; the edit may be stored.
@@ -99,7 +99,7 @@
         Ok(EditOutcome::Stored(stored.version))
     }
 
-    /// Version this edit made, if an earlier attempt took effect.
+    /// Version that this edit is stored as, if an earlier attempt took effect.
     async fn find_stored(&self, client: &PlatformClient) -> Result<Option<u64>, PlatformError> {
         let history = client.history().await?;
         let stored = history.iter().find(|entry| entry.edit_id == self.edit_id);
