--- a/crates/linkhold/src/group/handle.rs
+++ b/crates/linkhold/src/group/handle.rs
@@ -175,7 +175,7 @@
 
     /// Waits until `check` returns a value for a view; returns `None` at the
     /// deadline. Demands answers newer than `since` at once, and new answers after
-    /// each [`POLL_PAUSE`] of the wait.
+    /// each `POLL_PAUSE` of the wait.
     pub async fn wait_for<T>(
         &self,
         since: ProbeTag,
--- a/crates/linkhold/src/group/instance.rs
+++ b/crates/linkhold/src/group/instance.rs
@@ -127,7 +127,7 @@
 fn wake(slots: &mut Slots, granted: Vec<Ticket>) {
     for ticket in granted {
         if let Some(sender) = slots.waiting.remove(&ticket) {
-            // If the receiver is gone, the drop of `QueuedRequest` releases the slot.
+            // If the receiver was dropped, `QueuedRequest::drop` releases the slot.
             let _ = sender.send(());
         }
     }
--- a/crates/linkhold/src/group/view_actor.rs
+++ b/crates/linkhold/src/group/view_actor.rs
@@ -27,7 +27,7 @@
     pub instance: InstanceIndex,
     /// Tag issued when the probe was sent.
     pub tag: ProbeTag,
-    /// What it reported.
+    /// Status that the instance reported.
     pub status: InstanceStatus,
 }
 
--- a/crates/linkhold/src/node.rs
+++ b/crates/linkhold/src/node.rs
@@ -240,7 +240,7 @@
     /// Waits until a table of at least this version is in force.
     pub async fn wait_for_table(&self, version: u64) {
         let mut changes = self.in_force.clone();
-        // The sender lives as long as the node.
+        // The sender is dropped only with the node.
         let _ = changes.wait_for(|known| *known >= version).await;
     }
 
--- a/crates/linkhold/src/peer/mod.rs
+++ b/crates/linkhold/src/peer/mod.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Announces to the other nodes that this one leaves, for [`LEAVE_NOTICE_TIME`].
+    /// Announces to the other nodes that this one leaves, for `LEAVE_NOTICE_TIME`.
     pub async fn leave(&self) {
         // The actor runs as long as the service.
         let _ = self.membership.tell(Leave).await;
--- a/crates/linkhold/src/table_actor.rs
+++ b/crates/linkhold/src/table_actor.rs
@@ -89,7 +89,7 @@
 pub struct PeerAnnounced {
     /// The node.
     pub from: SocketAddr,
-    /// What it announced.
+    /// Announcement of the node.
     pub announcement: Announcement,
 }
 
@@ -283,7 +283,7 @@
 
 /// Reads the source periodically until the actor has stopped. The store is read by
 /// the few nodes with that duty, by any node without a table, and by every node
-/// after [`FALLBACK_PERIOD`] without a read.
+/// after `FALLBACK_PERIOD` without a read.
 pub async fn read_source(
     source: TableSource,
     poll: Duration,
--- a/crates/linkhold/tests/common/mod.rs
+++ b/crates/linkhold/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Starts nodes and stand-ins as real processes.
+//! Starts nodes and stand-ins as processes.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -11,7 +11,7 @@
 use serde_json::json;
 use tokio_postgres::{Client, NoTls};
 
-/// Bound for waits on conditions; generous, since it only bounds failures.
+/// Longest wait for a condition; generous, because only failing tests reach it.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 pub const TOKEN_KEY: &str = "an-example-token-key";
 pub const HEADINGS: &str = "group,database,instance,address,zone,hours,weight,slots,connection_limit,read_wait_ms,write_wait_ms,state";
@@ -21,7 +21,7 @@
     child: Child,
     pairs: HashMap<String, String>,
     reader: BufReader<std::process::ChildStdout>,
-    /// Log lines that came before the ready line.
+    /// Log lines printed before the ready line.
     early_log: String,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// A database group and a platform in a process.
+/// A stand-in process with a database group and a platform.
 pub struct StandIn {
     process: ReadyProcess,
     client: reqwest::Client,
@@ -111,7 +111,7 @@
         &self.process.pairs["platform"]
     }
 
-    /// Calls the control interface.
+    /// Posts a request to the control interface.
     pub async fn control(&self, path: &str) {
         let url = format!("http://{}{path}", self.process.pairs["control"]);
         let response = self.client.post(url).send().await.expect("it answers");
@@ -128,7 +128,7 @@
         response.json().await.expect("is JSON")
     }
 
-    /// Statements the instances have run, in order.
+    /// Statements that the instances have run, in order.
     pub async fn records(&self) -> Vec<serde_json::Value> {
         let url = format!("http://{}/records", self.process.pairs["control"]);
         let response = self.client.get(url).send().await.expect("it answers");
@@ -239,14 +239,14 @@
     }
 }
 
-/// A node in a process.
+/// A node process.
 pub struct NodeProcess {
     process: ReadyProcess,
     pub address: String,
 }
 
 impl NodeProcess {
-    /// Starts a node in front of a stand-in; `extra` ends its settings file.
+    /// Starts a node in front of a stand-in; `extra` is appended to its settings.
     pub fn start(standin: &StandIn, name: &str, extra: &str) -> Self {
         let settings = format!(
             "node = \"{name}\"\nzone = \"zone-0\"\nlisten = \"127.0.0.1:0\"\ntoken_key = \"{TOKEN_KEY}\"\ntable.platform_url = \"{}\"\ntable.poll_ms = 50\n{extra}\n",
@@ -255,7 +255,7 @@
         Self::start_with(&settings)
     }
 
-    /// Starts a node with a whole settings file.
+    /// Starts a node with a complete settings file.
     pub fn start_with(settings: &str) -> Self {
         let directory = tempfile::tempdir().expect("a directory can be made");
         let path = directory.path().join("node.toml");
@@ -284,12 +284,12 @@
         assert!(status.success());
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process.child.kill().expect("it runs");
     }
 
-    /// Waits for the process to end and returns its log.
+    /// Waits for the process to end and returns its exit code and log.
     pub fn wait(mut self) -> (Option<i32>, String) {
         let status = self.process.child.wait().expect("it ends");
         let mut log = self.process.early_log.clone();
@@ -301,12 +301,12 @@
     }
 }
 
-/// Connects; retries while the node has no table yet.
+/// Connects; retries until the node has its table.
 pub async fn connect(address: &str, database: &str) -> Client {
     connect_with(address, database, "").await
 }
 
-/// Connects with `options`.
+/// Connects with `options`; retries until the node has its table.
 pub async fn connect_with(address: &str, database: &str, options: &str) -> Client {
     let (host, port) = address.split_once(':').expect("is host:port");
     let text = format!("host={host} port={port} user=test dbname={database} options='{options}'");
--- a/crates/linkhold/tests/failures.rs
+++ b/crates/linkhold/tests/failures.rs
@@ -1,5 +1,5 @@
-//! Real nodes when things fail: failovers, dead and leaving nodes and back
-//! ends, late answers, and what callers are told.
+//! Tests real nodes under failures: failovers, killed and leaving nodes and back
+//! ends, late answers, and the outcomes that callers get.
 
 mod common;
 
@@ -33,7 +33,7 @@
     (standin, first, second)
 }
 
-/// Crashes or isolates the primary; returns which instance it was.
+/// Crashes or isolates the primary; returns its index.
 async fn act_on_primary(standin: &StandIn, action: &str) -> usize {
     let primary = standin.primary().await;
     let path = format!("/instances/{primary}/{action}");
@@ -41,6 +41,8 @@
     primary
 }
 
+/// Guards against writes that fail during a failover instead of waiting for the new
+/// primary, and against acknowledged writes that are lost with the old one.
 #[tokio::test]
 async fn a_write_waits_for_the_new_primary_and_is_kept() {
     let (standin, first, second) = start(&[]).await;
@@ -51,7 +53,7 @@
         .await
         .expect("is acknowledged");
     let primary = act_on_primary(&standin, "crash").await;
-    // The first write may meet the broken connection; later ones wait.
+    // The first write may fail on the broken connection; later writes wait.
     let _ = writer.batch_execute(&insert("meets the crash")).await;
     writer
         .batch_execute(&insert("after"))
@@ -62,6 +64,8 @@
     assert_eq!(count(&reader, "after").await, 1);
 }
 
+/// Guards against the acknowledgement of a write that only an isolated primary holds:
+/// the write is lost once a majority elects another primary.
 #[tokio::test]
 async fn a_primary_cut_off_from_its_peers_acknowledges_nothing() {
     let (standin, first, _second) = start(&["--election-ms", "1000"]).await;
@@ -71,7 +75,7 @@
         .await
         .expect("is acknowledged");
     let primary = act_on_primary(&standin, "isolate").await;
-    // The old primary still accepts the commit, but no majority will hold it.
+    // The old primary still accepts the commit, but no majority ever holds it.
     let error = writer
         .batch_execute(&insert("lost"))
         .await
@@ -86,6 +90,9 @@
     assert_eq!(count(&writer, "after").await, 1);
 }
 
+/// Guards against a request that runs after it was reported as not run. The write
+/// reaches an isolated primary, so its outcome is unknown, and the node records its
+/// key as cancelled at the new primary.
 #[tokio::test]
 async fn an_unknown_outcome_is_resolved_by_its_request_key() {
     let (standin, first, second) = start(&["--election-ms", "1000"]).await;
@@ -109,7 +116,7 @@
         detail(&error)
     );
     standin.control(&format!("/instances/{primary}/heal")).await;
-    // The key is used up: the request can never run, whichever node it comes by.
+    // The key is recorded as cancelled, so the request cannot run through any node.
     let other = connect(&second.address, &standin.database).await;
     other
         .batch_execute("SET linkhold.request_key = 'key-1'")
@@ -127,6 +134,8 @@
     assert_eq!(count(&other, "keyed").await, 0);
 }
 
+/// Guards against a request that runs twice because a caller sends it through two
+/// nodes at once.
 #[tokio::test]
 async fn a_request_sent_twice_with_one_key_runs_once() {
     let (standin, first, second) = start(&[]).await;
@@ -142,23 +151,27 @@
             client.batch_execute(&insert(&id)).await
         };
         let results = tokio::join!(send(&callers[0]), send(&callers[1]));
-        let told: Vec<String> = [results.0, results.1]
+        let outcomes: Vec<String> = [results.0, results.1]
             .iter()
             .map(|result| match result {
                 Ok(()) => "acknowledged".to_owned(),
                 Err(error) => detail(error),
             })
             .collect();
-        let acknowledged = told.iter().filter(|text| *text == "acknowledged").count();
-        let completed = told
+        let acknowledged = outcomes
+            .iter()
+            .filter(|text| *text == "acknowledged")
+            .count();
+        let completed = outcomes
             .iter()
             .filter(|text| text.starts_with("outcome=completed"))
             .count();
-        assert_eq!((acknowledged, completed), (1, 1), "{told:?}");
+        assert_eq!((acknowledged, completed), (1, 1), "{outcomes:?}");
         assert_eq!(count(&callers[0], &id).await, 1);
     }
 }
 
+/// Guards against a part of a transaction that stays when its node is killed.
 #[tokio::test]
 async fn a_node_killed_in_a_transaction_leaves_nothing_of_it() {
     let (standin, mut first, second) = start(&[]).await;
@@ -175,6 +188,8 @@
     assert_eq!(count(&survivor, "whole").await, 1);
 }
 
+/// Guards against statements that run outside their transaction after it was lost with
+/// the primary: they fail until the caller sends ROLLBACK.
 #[tokio::test]
 async fn a_lost_transaction_is_reported_as_not_run_until_rollback() {
     let (standin, first, _second) = start(&[]).await;
@@ -204,8 +219,10 @@
     assert_eq!(count(&writer, "lost").await, 0);
 }
 
+/// Guards against requests and transactions that a stopping node aborts although they
+/// arrived before the signal.
 #[tokio::test]
-async fn an_orderly_stop_finishes_what_has_arrived() {
+async fn a_graceful_stop_finishes_received_requests() {
     let (standin, first, second) = start(&[]).await;
     let idle = connect(&first.address, &standin.database).await;
     let busy = connect(&first.address, &standin.database).await;
@@ -246,7 +263,7 @@
     assert_eq!(count(&other, "b").await, 1);
 }
 
-/// Instances that ran the query.
+/// Instances that ran the query, in order.
 async fn instances_that_ran(standin: &StandIn, query: &str) -> Vec<u64> {
     let records = standin.records().await;
     records
@@ -289,7 +306,7 @@
     let client = connect(&first.address, &standin.database).await;
     standin.control("/machines/2/leaving").await;
     let mut round = 0;
-    eventually("the list is followed", || {
+    eventually("reads avoid the leaving machine", || {
         round += 1;
         let query = format!("SELECT 'round-{round}'");
         let (client, standin) = (&client, &standin);
@@ -303,8 +320,10 @@
     .await;
 }
 
+/// Guards against an answer that arrives after its request has timed out and is sent to
+/// the next request on the same back end connection.
 #[tokio::test]
-async fn a_late_answer_reaches_nobody() {
+async fn a_late_answer_reaches_no_other_request() {
     let standin = StandIn::start(&["--connect-ms", "0"]);
     standin.put_table(&standin.table(|_, _| {})).await;
     let settings = "[backend]\nprobe_timeout_ms = 300\nstatement_timeout_ms = 300\n";
@@ -321,7 +340,7 @@
             ))
             .await;
     }
-    // Given up on, or refused; never answered with another's answer.
+    // A request may time out or be refused, but never gets another request's answer.
     for number in 0..6 {
         let text = format!("SELECT 'late-{number}'");
         if let Ok(found) = rows(&clients[number % 2], &text).await {
@@ -347,7 +366,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_comes_at_once_with_a_time_to_come_back() {
+async fn a_refusal_is_immediate_and_has_a_retry_time() {
     let standin = StandIn::start(&["--connect-ms", "0", "--election-ms", "60000"]);
     let table = standin.table(|_, row| row.write_wait = 300);
     standin.put_table(&table).await;
@@ -366,12 +385,14 @@
         detail.starts_with("outcome=not_run reason=no_primary retry_after_ms="),
         "{detail}"
     );
-    // Reads go on without a primary.
+    // Reads continue without a primary.
     assert_eq!(rows(&client, "SELECT 1").await.expect("is read"), [["1"]]);
 }
 
+/// Guards against reads that are sent to an instance that no longer answers while its
+/// connections stay open.
 #[tokio::test]
-async fn a_back_end_that_falls_silent_is_left_alone() {
+async fn reads_avoid_a_silent_back_end() {
     let standin = StandIn::start(&["--connect-ms", "0"]);
     let mut relays = Vec::new();
     for address in &standin.instances {
@@ -392,7 +413,7 @@
         .await
         .expect("is acknowledged");
     relays[1].set_link(Link::BlackHole);
-    eventually("reads avoid it", || async {
+    eventually("reads avoid the silent back end", || async {
         let mut answered = true;
         for _ in 0..10 {
             answered &= rows(&client, "SELECT 1").await.is_ok();
@@ -429,12 +450,13 @@
         .await
         .expect("is acknowledged");
     let query = "SELECT request_key FROM linkhold_requests ORDER BY request_key";
-    eventually("the expired key is gone", || async {
+    eventually("the expired key is removed", || async {
         rows(&client, query).await.expect("is read") == [["recent"]]
     })
     .await;
 }
 
+/// Guards against an idle transaction that holds the only slot without limit.
 #[tokio::test]
 async fn a_transaction_that_idles_gives_its_slot_back() {
     let standin = StandIn::start(&["--connect-ms", "0"]);
--- a/crates/linkhold/tests/protocol.rs
+++ b/crates/linkhold/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL protocol as real clients use it, through a real node.
+//! Tests the PostgreSQL protocol with real clients and a real node process.
 
 mod common;
 
@@ -65,6 +65,8 @@
     }
 }
 
+/// Guards against statements that are missing when a session gets another back end
+/// connection from the pool than the one that prepared them.
 #[tokio::test]
 async fn prepared_statements_survive_a_change_of_connection() {
     let (standin, node) = start().await;
@@ -174,6 +176,7 @@
     );
 }
 
+/// Guards against a cancel request that ends a statement of another session.
 #[tokio::test]
 async fn a_cancel_request_reaches_only_its_own_query() {
     let (standin, node) = start().await;
@@ -202,6 +205,8 @@
     );
 }
 
+/// Guards against settings that are lost with a change of the back end connection,
+/// that leak to the next session on it, or that survive a rollback.
 #[tokio::test]
 async fn settings_follow_their_session_and_reach_no_other() {
     let (standin, node) = start().await;
@@ -266,6 +271,7 @@
     }
 }
 
+/// Guards against a node that buffers a streamed result in memory.
 #[tokio::test]
 async fn a_big_result_does_not_grow_the_node() {
     const ROWS: usize = 200_000;
@@ -308,7 +314,7 @@
         .expect("is a number")
 }
 
-/// Opens a session by hand and returns the socket after ReadyForQuery.
+/// Opens a session on a raw socket and returns the socket after ReadyForQuery.
 async fn raw_session(node: &NodeProcess, database: &str) -> TcpStream {
     let mut stream = TcpStream::connect(&node.address).await.expect("connects");
     let mut body = 196_608_u32.to_be_bytes().to_vec();
@@ -357,10 +363,11 @@
     bytes
 }
 
+/// Guards against malformed messages that crash the node or disturb other sessions.
 #[tokio::test]
 async fn broken_frames_end_their_connection_and_nothing_else() {
     let (standin, node) = start().await;
-    // Once a session can be opened the node has its table.
+    // The node has its table once a session can be opened.
     connect(&node.address, &standin.database).await;
     let broken = [
         message(b'Q', b"SELECT 'a\0b'\0"),
@@ -377,7 +384,7 @@
     for bytes in broken {
         let mut stream = raw_session(&node, &standin.database).await;
         stream.write_all(&bytes).await.expect("is sent");
-        let (kind, body) = read_message(&mut stream).await.expect("is told");
+        let (kind, body) = read_message(&mut stream).await.expect("is answered");
         assert_eq!(kind, b'E', "{bytes:?}");
         let text = String::from_utf8_lossy(&body);
         assert!(
@@ -394,11 +401,13 @@
         .write_all(b"GET / HTTP/1.1\r\n\r\n")
         .await
         .expect("is sent");
-    let (kind, _) = read_message(&mut garbage).await.expect("is told");
+    let (kind, _) = read_message(&mut garbage).await.expect("is answered");
     assert_eq!(kind, b'E');
     let client = connect(&node.address, &standin.database).await;
     assert_eq!(
-        rows(&client, "SELECT 1").await.expect("the node lives"),
+        rows(&client, "SELECT 1")
+            .await
+            .expect("the node still runs"),
         [["1"]]
     );
 }
@@ -428,7 +437,7 @@
             char::from(expected)
         );
     }
-    // An error in a flushed batch: the rest is skipped up to the Sync.
+    // After an error in a flushed batch, messages are skipped up to the Sync.
     let mut batch = message(b'P', b"\0SELECT * FROM missing\0\0\0");
     batch.extend(message(b'H', b""));
     batch.extend(message(b'B', b"\0\0\0\0\0\0\0\0"));
@@ -467,7 +476,7 @@
 }
 
 #[tokio::test]
-async fn an_unknown_database_is_refused_with_a_time_to_come_back() {
+async fn an_unknown_database_is_refused_with_a_retry_time() {
     let (standin, node) = start().await;
     connect(&node.address, &standin.database).await;
     let (host, port) = node.address.split_once(':').expect("is host:port");
@@ -484,7 +493,7 @@
 }
 
 #[tokio::test]
-async fn callers_are_told_the_version_of_the_back_end() {
+async fn callers_get_the_version_of_the_back_end() {
     let (standin, node) = start().await;
     connect(&node.address, &standin.database).await;
     let (host, port) = node.address.split_once(':').expect("is host:port");
--- a/crates/linkhold/tests/whole_path.rs
+++ b/crates/linkhold/tests/whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path with real processes: a stand-in group and platform, two
-//! nodes, and a caller who writes through one and reads through the other.
+//! Guards against stale reads when a caller writes through one node and reads through
+//! another. Runs real processes: a stand-in group and platform, and two nodes.
 
 mod common;
 
