--- a/crates/linkhold/src/console.rs
+++ b/crates/linkhold/src/console.rs
@@ -22,7 +22,7 @@
 const FEATURE_NOT_SUPPORTED: &str = "0A000";
 const HELP: &str = "commands: SHOW POOLS, SHOW GROUPS, SHOW TABLE, SHOW NODES, SHOW STATS, SHOW VERSION, SHOW HELP";
 
-/// A result to be shown.
+/// Result of a `SHOW` command.
 struct Listing {
     columns: Vec<&'static str>,
     rows: Vec<Vec<String>>,
@@ -30,11 +30,11 @@
 
 /// Serves a console session to its end.
 pub async fn run(node: &Arc<NodeShared>, stream: &mut TcpStream, reader: &mut FrameReader) {
-    // A console session that fails has nobody left to tell.
-    let _ = converse(node, stream, reader).await;
+    // Errors are ignored: the operator's connection has failed.
+    let _ = serve_session(node, stream, reader).await;
 }
 
-async fn converse(
+async fn serve_session(
     node: &Arc<NodeShared>,
     stream: &mut TcpStream,
     reader: &mut FrameReader,
@@ -126,12 +126,12 @@
     let mut rows = Vec::new();
     for (name, group) in node.directory.snapshot().iter() {
         for instance in &group.instances {
-            let (in_use, waiting) = instance.load();
+            let (in_use, waiting) = instance.usage();
             rows.push(vec![
                 name.clone(),
                 instance.name.clone(),
                 instance.pool.address().to_string(),
-                instance.pool.lent_count().to_string(),
+                instance.pool.in_use_count().to_string(),
                 instance.pool.idle_count().to_string(),
                 instance.pool.limit().to_string(),
                 in_use.to_string(),
