--- a/crates/linkhold-standin/src/group/session/extended.rs
+++ b/crates/linkhold-standin/src/group/session/extended.rs
@@ -1,6 +1,6 @@
 //! The extended query protocol: prepared statements and portals.
 
-use linkhold_wire::frontend::{Named, Target};
+use linkhold_wire::frontend::{DescribeOrClose, Target};
 use linkhold_wire::reply::{self, TEXT_OID};
 use linkhold_wire::{Frame, WireError};
 use pgwire::messages::extendedquery::{Bind, Execute, Parse, PortalSuspended};
@@ -89,7 +89,7 @@
         })
     }
 
-    pub(super) fn describe(&mut self, named: &Named) -> Result<(), SqlError> {
+    pub(super) fn describe(&mut self, named: &DescribeOrClose) -> Result<(), SqlError> {
         let (columns, formats) = match named.target {
             Target::Statement => {
                 let statement = self.statement(&named.name)?;
@@ -178,7 +178,7 @@
         Ok(portal)
     }
 
-    pub(super) fn close(&mut self, named: &Named) {
+    pub(super) fn close(&mut self, named: &DescribeOrClose) {
         match named.target {
             Target::Statement => {
                 self.statements.remove(&named.name);
--- a/crates/linkhold-standin/src/group/session/mod.rs
+++ b/crates/linkhold-standin/src/group/session/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use bytes::BytesMut;
-use linkhold_wire::frontend::{Named, query_text};
+use linkhold_wire::frontend::{DescribeOrClose, query_text};
 use linkhold_wire::reply::{self, ErrorFields, ResultColumn, SessionStatus};
 use linkhold_wire::{Frame, FrameReader, WireError, kind};
 use rusqlite::types::Value;
@@ -133,10 +133,10 @@
             }
             kind::PARSE => self.parse(frame.decode("Parse")?).await,
             kind::BIND => self.bind(frame.decode("Bind")?),
-            kind::DESCRIBE => self.describe(&Named::read(frame)?),
+            kind::DESCRIBE => self.describe(&DescribeOrClose::read(frame)?),
             kind::EXECUTE => self.execute(frame.decode("Execute")?, stream).await?,
             kind::CLOSE => {
-                self.close(&Named::read(frame)?);
+                self.close(&DescribeOrClose::read(frame)?);
                 Ok(())
             }
             kind::FLUSH => return self.flush(stream).await,
--- a/crates/linkhold-wire/src/frontend.rs
+++ b/crates/linkhold-wire/src/frontend.rs
@@ -1,15 +1,15 @@
 //! Checked views of frontend messages.
 //!
-//! Each view verifies the whole layout of its message, so that a broken frame
-//! is found at the node and never reaches a back end. Fields that routing
-//! does not need stay as raw bytes.
+//! Each view verifies the whole layout of its message, so that the node rejects a
+//! malformed frame before it reaches a back end. Fields that routing does not
+//! need stay as raw bytes.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use crate::frame::{Frame, WireError};
 use crate::kind;
 
-/// `Query`: a simple query string.
+/// Reads a `Query` message and returns its SQL text.
 pub fn query_text(frame: &Frame) -> Result<String, WireError> {
     let mut fields = Fields::new(frame, "Query");
     let text = fields.text()?;
@@ -17,10 +17,10 @@
     Ok(text)
 }
 
-/// `Parse`: names a statement and its text.
+/// `Parse`: prepares a statement under a name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parse {
-    /// Statement name; empty for the unnamed one.
+    /// Statement name; empty for the unnamed statement.
     pub name: String,
     /// SQL text.
     pub query: String,
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Writes the message under another statement name.
+    /// Appends the message with `name` as the statement name.
     pub fn write(&self, buffer: &mut BytesMut, name: &str) {
         let length = 4 + name.len() + 1 + self.query.len() + 1 + self.parameter_types.len();
         put_header(buffer, kind::PARSE, length);
@@ -55,10 +55,10 @@
     }
 }
 
-/// `Bind`: binds parameters to a statement.
+/// `Bind`: binds parameter values to a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bind {
-    /// Portal name; empty for the unnamed one.
+    /// Portal name; empty for the unnamed portal.
     pub portal: String,
     /// Statement name.
     pub statement: String,
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Writes the message for another statement name.
+    /// Appends the message with `statement` as the statement name.
     pub fn write(&self, buffer: &mut BytesMut, statement: &str) {
         let length = 4 + self.portal.len() + 1 + statement.len() + 1 + self.values.len();
         put_header(buffer, kind::BIND, length);
@@ -99,7 +99,7 @@
     }
 }
 
-/// What a `Describe` or `Close` message is about.
+/// Kind of object that a `Describe` or `Close` message refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A prepared statement.
@@ -108,16 +108,16 @@
     Portal,
 }
 
-/// `Describe` or `Close` of a statement or portal.
+/// `Describe` or `Close` of a statement or a portal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
+pub struct DescribeOrClose {
     /// Statement or portal.
     pub target: Target,
-    /// Its name.
+    /// Name of the statement or portal.
     pub name: String,
 }
 
-impl Named {
+impl DescribeOrClose {
     /// Reads and checks a `Describe` or `Close` message.
     pub fn read(frame: &Frame) -> Result<Self, WireError> {
         let mut fields = Fields::new(frame, "Describe or Close");
@@ -131,7 +131,7 @@
         Ok(Self { target, name })
     }
 
-    /// Writes the message as `kind` under another name.
+    /// Appends the message as type `kind` with `name` as the object name.
     pub fn write(&self, buffer: &mut BytesMut, kind: u8, name: &str) {
         put_header(buffer, kind, 4 + 1 + name.len() + 1);
         buffer.put_u8(match self.target {
@@ -142,7 +142,7 @@
     }
 }
 
-/// `Execute`: checks the message and returns the portal's name.
+/// Reads an `Execute` message and returns the portal name.
 pub fn execute_portal(frame: &Frame) -> Result<String, WireError> {
     let mut fields = Fields::new(frame, "Execute");
     let portal = fields.text()?;
@@ -151,18 +151,18 @@
     Ok(portal)
 }
 
-/// A `Query` message as a whole frame in a buffer.
+/// Appends a `Query` message.
 pub fn put_query(buffer: &mut BytesMut, text: &str) {
     put_header(buffer, kind::QUERY, 4 + text.len() + 1);
     put_text(buffer, text);
 }
 
-/// A `Sync` message.
+/// Appends a `Sync` message.
 pub fn put_sync(buffer: &mut BytesMut) {
     put_header(buffer, kind::SYNC, 4);
 }
 
-/// A `Flush` message.
+/// Appends a `Flush` message.
 pub fn put_flush(buffer: &mut BytesMut) {
     put_header(buffer, kind::FLUSH, 4);
 }
@@ -170,7 +170,7 @@
 fn put_header(buffer: &mut BytesMut, kind: u8, length: usize) {
     buffer.reserve(length + 1);
     buffer.put_u8(kind);
-    buffer.put_u32(u32::try_from(length).expect("messages keep below the frame limit"));
+    buffer.put_u32(u32::try_from(length).expect("messages stay below the frame limit"));
 }
 
 fn put_text(buffer: &mut BytesMut, text: &str) {
@@ -178,7 +178,7 @@
     buffer.put_u8(0);
 }
 
-/// Reads fields of a body one after the other, never past its end.
+/// Reads the fields of a body in order, never past its end.
 struct Fields {
     rest: Bytes,
     message: &'static str,
@@ -219,7 +219,7 @@
         Ok(())
     }
 
-    /// A value with its length in front; -1 is null.
+    /// Skips a length-prefixed value; a length of -1 is null.
     fn skip_value(&mut self) -> Result<(), WireError> {
         self.need(4)?;
         let length = self.rest.get_i32();
@@ -230,7 +230,7 @@
         }
     }
 
-    /// A zero-terminated string in UTF-8.
+    /// Reads a zero-terminated UTF-8 string.
     fn text(&mut self) -> Result<String, WireError> {
         let end = self
             .rest
--- a/crates/linkhold/src/session/plan.rs
+++ b/crates/linkhold/src/session/plan.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 use bytes::{Bytes, BytesMut};
-use linkhold_wire::frontend::{Named, Target, put_flush, put_sync};
+use linkhold_wire::frontend::{DescribeOrClose, Target, put_flush, put_sync};
 use linkhold_wire::{kind, reply};
 
 use super::state::PreparedStatement;
@@ -263,7 +263,7 @@
             return;
         };
         self.connection.prepared.remove(&oldest);
-        let named = Named {
+        let named = DescribeOrClose {
             target: Target::Statement,
             name: oldest,
         };
@@ -271,7 +271,7 @@
         self.push(PlannedReply::Swallow { prepares: None });
     }
 
-    fn add_close(&mut self, named: &Named) {
+    fn add_close(&mut self, named: &DescribeOrClose) {
         match named.target {
             // Statements stay prepared on the back end, for other sessions.
             Target::Statement => {
--- a/crates/linkhold/src/session/unit.rs
+++ b/crates/linkhold/src/session/unit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use linkhold_core::classify::{Access, Classified, StatementKind, Unsupported};
-use linkhold_wire::frontend::{Bind, Named, Parse, execute_portal, query_text};
+use linkhold_wire::frontend::{Bind, DescribeOrClose, Parse, execute_portal, query_text};
 use linkhold_wire::{Frame, FrameReader, WireError, kind};
 use tokio::io::AsyncRead;
 
@@ -25,11 +25,11 @@
     /// Binds a statement known to the session, or one that is not.
     Bind(Bind, Option<Arc<PreparedStatement>>),
     /// Describes a statement or portal.
-    Describe(Named, Option<Arc<PreparedStatement>>),
+    Describe(DescribeOrClose, Option<Arc<PreparedStatement>>),
     /// Runs a portal.
     Execute(Frame),
     /// Closes a statement or portal.
-    Close(Named),
+    Close(DescribeOrClose),
 }
 
 /// How an extended unit ends.
@@ -202,7 +202,7 @@
             Ok(ExtendedMessage::Bind(bind, statement))
         }
         kind::DESCRIBE => {
-            let named = Named::read(frame)?;
+            let named = DescribeOrClose::read(frame)?;
             let statement = match named.target {
                 linkhold_wire::frontend::Target::Statement => {
                     state.prepared.get(&named.name).cloned()
@@ -216,7 +216,7 @@
             Ok(ExtendedMessage::Execute(frame.clone()))
         }
         _ => {
-            let named = Named::read(frame)?;
+            let named = DescribeOrClose::read(frame)?;
             if named.target == linkhold_wire::frontend::Target::Statement {
                 state.prepared.remove(&named.name);
             }
