--- a/crates/linkhold-wire/src/frame.rs
+++ b/crates/linkhold-wire/src/frame.rs
@@ -1,21 +1,21 @@
-//! Raw frames: a type byte, a length and a body.
+//! Raw protocol frames: a type byte, a length and a body.
 
 use bytes::{Buf, Bytes, BytesMut};
 use pgwire::messages::{DecodeContext, Message, ProtocolVersion};
 use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Longest frame passed through, in bytes. Bounds the memory one message can
-/// take in a node.
+/// Maximum value of a frame's length field, in bytes. Bounds the memory that one
+/// message can take in a node.
 pub const MAX_FRAME_LENGTH: usize = 16 * 1024 * 1024;
 
 const HEADER_LENGTH: usize = 5;
-/// Room made for a read at first; enough for small statements.
-const SMALLEST_CHUNK: usize = 1024;
-/// Room made once reads fill what they were given.
-const LARGEST_CHUNK: usize = 16 * 1024;
+/// Initial buffer space for a read, in bytes; enough for small statements.
+const MIN_READ_CHUNK: usize = 1024;
+/// Buffer space for a read once a read has filled its buffer, in bytes.
+const MAX_READ_CHUNK: usize = 16 * 1024;
 
-/// What can go wrong on a connection.
+/// Errors of a connection.
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The socket failed.
@@ -24,7 +24,7 @@
     /// The peer closed the connection in the middle of a message.
     #[error("connection closed in the middle of a message")]
     Truncated,
-    /// The length field is impossible or beyond [`MAX_FRAME_LENGTH`].
+    /// The length field is below 4, the minimum, or above [`MAX_FRAME_LENGTH`].
     #[error("message length {0} is not allowed")]
     Length(usize),
     /// The body does not match the message's format.
@@ -32,34 +32,34 @@
     Malformed(&'static str),
 }
 
-/// One message as it came over the wire, header included.
+/// One message as received, header included.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame(Bytes);
 
 impl Frame {
-    /// Encodes a message of pgwire's.
+    /// Encodes a pgwire message.
     pub fn encode(message: &impl Message) -> Self {
         let mut buffer = BytesMut::new();
         put(&mut buffer, message);
         Self(buffer.freeze())
     }
 
-    /// The type byte.
+    /// Returns the type byte.
     pub fn kind(&self) -> u8 {
         self.0[0]
     }
 
-    /// The body, without type byte and length.
+    /// Returns the body, without type byte and length.
     pub fn body(&self) -> Bytes {
         self.0.slice(HEADER_LENGTH..)
     }
 
-    /// The whole message.
+    /// Returns the whole message, header included.
     pub fn bytes(&self) -> &Bytes {
         &self.0
     }
 
-    /// Decodes the frame as one of pgwire's messages.
+    /// Decodes the frame as a pgwire message. `name` is the message name in errors.
     pub fn decode<M: Message>(&self, name: &'static str) -> Result<M, WireError> {
         let context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
         let mut buffer = BytesMut::from(&self.0[..]);
@@ -74,10 +74,11 @@
 pub(crate) fn put(buffer: &mut BytesMut, message: &impl Message) {
     message
         .encode(buffer)
-        .expect("a message built here keeps within its length limit");
+        .expect("encoded messages stay within the length limit");
 }
 
-/// Splits a byte stream into frames. Holds no memory while idle and empty.
+/// Splits a byte stream into frames. An empty reader holds no memory after
+/// [`FrameReader::release_memory`].
 #[derive(Debug)]
 pub struct FrameReader {
     buffer: BytesMut,
@@ -88,13 +89,13 @@
     fn default() -> Self {
         Self {
             buffer: BytesMut::new(),
-            chunk: SMALLEST_CHUNK,
+            chunk: MIN_READ_CHUNK,
         }
     }
 }
 
 impl FrameReader {
-    /// Takes the next frame out of what has been read already.
+    /// Takes the next frame from the buffered bytes; `None` if it is incomplete.
     pub fn buffered(&mut self) -> Result<Option<Frame>, WireError> {
         if self.buffer.len() < HEADER_LENGTH {
             return Ok(None);
@@ -110,7 +111,8 @@
         Ok(Some(Frame(self.buffer.split_to(total).freeze())))
     }
 
-    /// Next frame, or `None` when the peer closed between messages.
+    /// Reads the next frame; `None` if the peer closed the connection between
+    /// messages.
     ///
     /// Cancel safe: bytes read so far stay in the buffer.
     pub async fn next(
@@ -125,7 +127,7 @@
             let room = self.buffer.capacity() - self.buffer.len();
             let count = stream.read_buf(&mut self.buffer).await?;
             if count == room {
-                self.chunk = LARGEST_CHUNK;
+                self.chunk = MAX_READ_CHUNK;
             }
             if count == 0 {
                 return if self.buffer.is_empty() {
@@ -137,28 +139,29 @@
         }
     }
 
-    /// Uses up what is allocated before it allocates again: frames taken out
-    /// keep the memory they came in.
+    /// Reserves space for a read. Uses up the allocated space first, because
+    /// frames share the allocation of the buffer they were split from.
     fn make_room(&mut self) {
         let room = self.buffer.capacity() - self.buffer.len();
-        if room < SMALLEST_CHUNK / 2 {
+        if room < MIN_READ_CHUNK / 2 {
             self.buffer.reserve(self.chunk);
         }
     }
 
-    /// Whether nothing is buffered.
+    /// Returns whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Gives the buffer's memory back if nothing is in it.
+    /// Frees the buffer's memory if the buffer is empty.
     pub fn release_memory(&mut self) {
         if self.buffer.is_empty() {
             *self = Self::default();
         }
     }
 
-    /// Buffer for the untyped first messages of a connection.
+    /// Returns the buffer, for the first messages of a connection, which have no type
+    /// byte.
     pub fn raw(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
--- a/crates/linkhold-wire/src/lib.rs
+++ b/crates/linkhold-wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! PostgreSQL protocol 3.0 framing, shared by the proxy and the stand-ins.
 //!
-//! Messages that are built or fully read use pgwire's types. Messages that
-//! are only passed on stay as raw frames ([`Frame`]), with checked views of
-//! the few fields that routing needs ([`frontend`]).
+//! Messages that are built or fully decoded use pgwire's types. Forwarded
+//! messages stay raw frames ([`Frame`]), with checked views of the few fields
+//! that routing needs ([`frontend`]).
 //!
 //! Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol",
 //! section "Message Formats".
@@ -13,7 +13,7 @@
 
 pub use frame::{Frame, FrameReader, MAX_FRAME_LENGTH, WireError};
 
-/// First byte of each message, by direction and name.
+/// Type byte of each message, by direction and name.
 pub mod kind {
     /// Frontend: simple query.
     pub const QUERY: u8 = b'Q';
@@ -33,9 +33,9 @@
     pub const SYNC: u8 = b'S';
     /// Frontend: terminate.
     pub const TERMINATE: u8 = b'X';
-    /// Frontend: copy data; backend: the same.
+    /// Frontend and backend: copy data.
     pub const COPY_DATA: u8 = b'd';
-    /// Frontend: end of copy; backend: the same.
+    /// Frontend and backend: end of copy.
     pub const COPY_DONE: u8 = b'c';
     /// Frontend: copy failed.
     pub const COPY_FAIL: u8 = b'f';
@@ -66,6 +66,6 @@
     pub const BIND_COMPLETE: u8 = b'2';
     /// Backend: close complete.
     pub const CLOSE_COMPLETE: u8 = b'3';
-    /// Backend: copy in, out and both.
+    /// Backend: start of copy in, copy out and copy both.
     pub const COPY_RESPONSES: [u8; 3] = [b'G', b'H', b'W'];
 }
--- a/crates/linkhold-wire/src/reply.rs
+++ b/crates/linkhold-wire/src/reply.rs
@@ -1,4 +1,4 @@
-//! Backend messages a node or a stand-in builds itself.
+//! Backend messages that a node or a stand-in builds or decodes itself.
 
 use bytes::{BufMut, BytesMut};
 use pgwire::messages::data::{
@@ -27,21 +27,21 @@
 const MESSAGE: u8 = b'M';
 const DETAIL: u8 = b'D';
 
-/// Fields of an error as linkhold reports and reads them.
+/// Fields of an `ErrorResponse` that linkhold sends and reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorFields {
     /// `ERROR` or `FATAL`.
     pub severity: String,
     /// SQLSTATE.
     pub code: String,
-    /// Message for people.
+    /// Human-readable message.
     pub message: String,
-    /// Detail; linkhold writes key=value pairs here.
+    /// Detail; in errors from linkhold, key=value pairs.
     pub detail: Option<String>,
 }
 
 impl ErrorFields {
-    /// An error that leaves the connection usable.
+    /// Creates an `ERROR`, which leaves the connection usable.
     pub fn error(code: &str, message: impl Into<String>) -> Self {
         Self {
             severity: "ERROR".to_owned(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// An error after which the connection ends.
+    /// Creates a `FATAL` error, after which the connection ends.
     pub fn fatal(code: &str, message: impl Into<String>) -> Self {
         Self {
             severity: "FATAL".to_owned(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds the detail.
+    /// Sets the detail.
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
@@ -103,7 +103,7 @@
     put(buffer, &ReadyForQuery::new(status));
 }
 
-/// Appends `CommandComplete` with a tag.
+/// Appends `CommandComplete` with a command tag.
 pub fn put_complete(buffer: &mut BytesMut, tag: &str) {
     put(buffer, &CommandComplete::new(tag.to_owned()));
 }
@@ -159,19 +159,19 @@
     );
 }
 
-/// A column of a result: name, type and format code (0 text, 1 binary).
+/// Column of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultColumn {
-    /// Name of the column.
+    /// Column name.
     pub name: String,
     /// Type identifier.
     pub type_oid: u32,
-    /// Format code.
+    /// Format code: 0 is text, 1 is binary.
     pub format: i16,
 }
 
 impl ResultColumn {
-    /// A text column.
+    /// Creates a column of type text in text format.
     pub fn text(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -208,7 +208,7 @@
     for value in values {
         match value {
             Some(bytes) => {
-                data.put_i32(i32::try_from(bytes.len()).expect("values keep below 2 GB"));
+                data.put_i32(i32::try_from(bytes.len()).expect("values stay below 2 GB"));
                 data.put_slice(bytes);
             }
             None => data.put_i32(-1),
@@ -218,7 +218,7 @@
     put(buffer, &DataRow::new(data, count));
 }
 
-/// Appends a row of text values.
+/// Appends a `DataRow` of text values.
 pub fn put_text_row(buffer: &mut BytesMut, values: &[&str]) {
     let values: Vec<Option<Vec<u8>>> = values
         .iter()
@@ -227,7 +227,7 @@
     put_data_row(buffer, &values);
 }
 
-/// Values of a `DataRow`; `None` is null.
+/// Decodes the values of a `DataRow`; `None` is null.
 pub fn read_data_row(frame: &Frame) -> Result<Vec<Option<Vec<u8>>>, WireError> {
     use bytes::Buf;
     let malformed = || WireError::Malformed("DataRow");
@@ -254,13 +254,13 @@
     Ok(values)
 }
 
-/// Transaction status of a `ReadyForQuery` frame.
+/// Returns the transaction status of a `ReadyForQuery` frame.
 pub fn ready_status(frame: &Frame) -> Result<TransactionStatus, WireError> {
     let ready: ReadyForQuery = frame.decode("ReadyForQuery")?;
     Ok(ready.status)
 }
 
-/// Tag of a `CommandComplete` frame.
+/// Returns the command tag of a `CommandComplete` frame.
 pub fn complete_tag(frame: &Frame) -> Result<String, WireError> {
     let complete: CommandComplete = frame.decode("CommandComplete")?;
     Ok(complete.tag)
