--- a/crates/linkhold-events/src/event.rs
+++ b/crates/linkhold-events/src/event.rs
@@ -8,13 +8,13 @@
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-use crate::limit::{self, Permission};
+use crate::limit::{self, LogDecision};
 use crate::queue::QueueWriter;
 
 /// Log target of all events.
 const TARGET: &str = "linkhold";
 
-/// An event under construction. Nothing is built for one that is left out.
+/// An event under construction. A suppressed event has no line.
 pub struct Event {
     level: Level,
     line: Option<String>,
@@ -35,12 +35,12 @@
         if !log::log_enabled!(target: TARGET, level) {
             return Self { level, line: None };
         }
-        match limit::ask(name, Instant::now()) {
-            Permission::LeaveOut => Self { level, line: None },
-            Permission::Log { left_out } => {
+        match limit::check(name, Instant::now()) {
+            LogDecision::Suppress => Self { level, line: None },
+            LogDecision::Log { suppressed } => {
                 let mut line = start_line(level, name);
-                if left_out > 0 {
-                    let _ = write!(line, " left_out={left_out}");
+                if suppressed > 0 {
+                    let _ = write!(line, " left_out={suppressed}");
                 }
                 Self {
                     level,
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Adds a key and a value.
+    /// Adds a key=value pair.
     pub fn field(mut self, key: &'static str, value: impl Display) -> Self {
         if let Some(line) = &mut self.line {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = write!(line, " {key}={}", quoted(&value.to_string()));
         }
         self
@@ -75,7 +75,7 @@
     format!("time={time} level={level} event={name}")
 }
 
-/// Quotes a value unless it consists of plain characters only.
+/// Quotes and escapes a value unless it consists of plain characters only.
 pub fn quoted(value: &str) -> String {
     let is_plain =
         |character: char| character.is_ascii_alphanumeric() || "-_.:/,+".contains(character);
@@ -98,8 +98,8 @@
     output
 }
 
-/// Sends log lines to standard output without ever blocking on it. Later calls
-/// in a process do nothing.
+/// Starts logging to standard output; callers never block on the output. Later
+/// calls in a process have no effect.
 pub fn start_logging(level: LevelFilter) {
     let config = ConfigBuilder::new()
         .set_max_level(LevelFilter::Off)
@@ -110,6 +110,6 @@
         .add_filter_allow_str(TARGET)
         .build();
     let writer = QueueWriter::start(std::io::stdout());
-    // A second logger in one process is refused; the first one stays.
+    // Fails if the process has a logger already; that logger stays in use.
     let _ = WriteLogger::init(level, config, writer);
 }
--- a/crates/linkhold-events/src/lib.rs
+++ b/crates/linkhold-events/src/lib.rs
@@ -1,11 +1,11 @@
-//! Structured log events: one line of key=value pairs each.
+//! Structured log events, each a line of key=value pairs.
 //!
 //! * [`Event`] builds a line; values are quoted so that a caller's text cannot
 //!   forge a line or a key.
-//! * [`limit`] bounds the lines of each event name; what is left out is counted
-//!   and reported.
-//! * [`queue`] hands lines to a thread that writes them, so that a reader who
-//!   does not read never blocks the program.
+//! * [`limit`] limits the rate of lines per event name, and counts and reports the
+//!   suppressed events.
+//! * [`queue`] passes lines to a writer thread, so that a blocked output never
+//!   blocks the program.
 
 mod event;
 pub mod limit;
--- a/crates/linkhold-events/src/limit.rs
+++ b/crates/linkhold-events/src/limit.rs
@@ -1,64 +1,65 @@
-//! A bound on the lines of each event name: a token bucket per name.
+//! Rate limit of log lines: one token bucket per event name.
 
 use std::collections::HashMap;
 use std::sync::{LazyLock, Mutex, PoisonError};
 use std::time::Instant;
 
-/// Lines of one name that may come at once.
+/// Bucket size: lines of one event name that may be logged at once.
 const BURST: f64 = 400.0;
-/// Lines of one name a second in the long run.
+/// Refill rate: lines of one event name per second.
 const RATE_PER_SECOND: f64 = 60.0;
 
 /// Whether an event is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Permission {
-    /// Yes; this many of its name were left out before it.
+pub enum LogDecision {
+    /// The event is logged.
     Log {
-        /// Events of the name left out since the last line.
-        left_out: u64,
+        /// Events of this name suppressed since the last logged one.
+        suppressed: u64,
     },
-    /// No.
-    LeaveOut,
+    /// The event is suppressed.
+    Suppress,
 }
 
-/// Bucket of one name.
+/// Token bucket of one event name.
 #[derive(Debug)]
 pub struct Bucket {
     tokens: f64,
     updated: Instant,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(now: Instant) -> Self {
         Self {
             tokens: BURST,
             updated: now,
-            left_out: 0,
+            suppressed: 0,
         }
     }
 
-    /// Takes a token if there is one.
-    pub fn take(&mut self, now: Instant) -> Permission {
+    /// Refills the bucket and takes a token; without a token, counts the event as
+    /// suppressed.
+    pub fn take(&mut self, now: Instant) -> LogDecision {
         let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
         self.tokens = (self.tokens + elapsed * RATE_PER_SECOND).min(BURST);
         self.updated = now;
         if self.tokens < 1.0 {
-            self.left_out += 1;
-            return Permission::LeaveOut;
+            self.suppressed += 1;
+            return LogDecision::Suppress;
         }
         self.tokens -= 1.0;
-        Permission::Log {
-            left_out: std::mem::take(&mut self.left_out),
+        LogDecision::Log {
+            suppressed: std::mem::take(&mut self.suppressed),
         }
     }
 }
 
 static BUCKETS: LazyLock<Mutex<HashMap<&'static str, Bucket>>> = LazyLock::new(Mutex::default);
 
-/// Asks for permission to log an event.
-pub fn ask(name: &'static str, now: Instant) -> Permission {
+/// Decides whether an event of this name may be logged now.
+pub fn check(name: &'static str, now: Instant) -> LogDecision {
     let mut buckets = BUCKETS.lock().unwrap_or_else(PoisonError::into_inner);
     buckets
         .entry(name)
--- a/crates/linkhold-events/src/queue.rs
+++ b/crates/linkhold-events/src/queue.rs
@@ -1,5 +1,5 @@
-//! A writer that never blocks: lines go to a bounded queue, a thread writes
-//! them. When the queue is full, lines are dropped and counted.
+//! A writer that never blocks: lines go to a bounded queue, from which a thread
+//! writes them. When the queue is full, lines are dropped and counted.
 
 use std::io::{self, Write};
 use std::sync::OnceLock;
@@ -7,54 +7,54 @@
 use std::thread;
 use std::time::Duration;
 
-/// Lines that wait to be written at the most.
+/// Maximum number of items in the queue.
 const QUEUE_LENGTH: usize = 512;
-/// Bytes written at once at the most.
+/// Size at which a batch is written, in bytes.
 const BATCH_BYTES: usize = 16 * 1024;
-/// Stack of the writing thread, in bytes; it needs little.
+/// Stack size of the writer thread, in bytes; the thread needs little.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// What goes to the writing thread.
-enum Item {
+/// Item of the queue to the writer thread.
+enum QueueItem {
     /// A line.
     Line(Vec<u8>),
-    /// Everything before it is to be written, then this is told.
+    /// Request to signal this channel once all earlier items are written.
     Flush(std::sync::mpsc::Sender<()>),
 }
 
-/// The queue of the program's log, for [`flush`].
-static LOG_QUEUE: OnceLock<SyncSender<Item>> = OnceLock::new();
+/// Queue of the process's log, for [`flush`].
+static LOG_QUEUE: OnceLock<SyncSender<QueueItem>> = OnceLock::new();
 
-/// The sending side.
+/// Sending side of the queue; assembles lines from partial writes.
 pub struct QueueWriter {
     line: Vec<u8>,
-    sender: SyncSender<Item>,
+    sender: SyncSender<QueueItem>,
     dropped: u64,
 }
 
-/// Waits until the lines logged so far are written, at most for `limit`. For
-/// the end of a program only.
+/// Waits until the lines logged so far are written, for at most `limit`. Call it
+/// only before the program exits.
 pub fn flush(limit: Duration) {
     let Some(queue) = LOG_QUEUE.get() else {
         return;
     };
     let (done, written) = channel();
-    if queue.try_send(Item::Flush(done)).is_ok() {
-        // Too late is as good as never: the program ends either way.
+    if queue.try_send(QueueItem::Flush(done)).is_ok() {
+        // The program exits even if the lines are not written in time.
         let _ = written.recv_timeout(limit);
     }
 }
 
 impl QueueWriter {
-    /// Starts the thread that writes to `output`. Without a thread, lines are
-    /// dropped: logs are never a reason not to serve.
+    /// Starts the thread that writes to `output`. If the thread does not start,
+    /// lines are dropped: a logging failure must not stop the service.
     pub fn start(output: impl Write + Send + 'static) -> Self {
         let (sender, receiver) = sync_channel(QUEUE_LENGTH);
         let _ = thread::Builder::new()
             .name("log".to_owned())
             .stack_size(STACK_BYTES)
             .spawn(move || write_lines(&receiver, output));
-        // The first log of a process is the one that is flushed.
+        // Only the first log of a process is flushed by `flush`.
         let _ = LOG_QUEUE.set(sender.clone());
         Self {
             line: Vec::new(),
@@ -72,7 +72,7 @@
             );
             line.splice(0..0, note.into_bytes());
         }
-        match self.sender.try_send(Item::Line(line)) {
+        match self.sender.try_send(QueueItem::Line(line)) {
             Ok(()) => self.dropped = 0,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.dropped += 1,
         }
@@ -93,15 +93,15 @@
     }
 }
 
-fn write_lines(receiver: &Receiver<Item>, mut output: impl Write) {
+fn write_lines(receiver: &Receiver<QueueItem>, mut output: impl Write) {
     let mut batch = Vec::new();
     while let Ok(first) = receiver.recv() {
         let mut flushed = Vec::new();
         let mut next = Some(first);
         while let Some(item) = next {
             match item {
-                Item::Line(line) => batch.extend_from_slice(&line),
-                Item::Flush(done) => flushed.push(done),
+                QueueItem::Line(line) => batch.extend_from_slice(&line),
+                QueueItem::Flush(done) => flushed.push(done),
             }
             next = if batch.len() < BATCH_BYTES {
                 receiver.try_recv().ok()
@@ -118,7 +118,7 @@
         }
         batch.clear();
         for done in flushed {
-            // Whoever asked may have stopped waiting.
+            // The caller of `flush` may have stopped waiting.
             let _ = done.send(());
         }
     }
