--- a/crates/linkhold-fleet/src/main.rs
+++ b/crates/linkhold-fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs a hollow fleet and prints its cost as one line.
+//! Runs a fleet simulation and prints the cost of its control work as one line.
 
 use std::time::Duration;
 
@@ -16,28 +16,24 @@
             .help(help)
     };
     let run = Command::new("run")
-        .about("Simulate a fleet and print what its control work costs")
+        .about("Simulate a fleet and print the cost of its control work")
         .arg(number("nodes", "200", "Number of nodes"))
         .arg(number(
             "databases",
             "200",
-            "Databases of the table, of three instances each",
+            "Databases in the table, with three instances each",
         ))
-        .arg(number("seconds", "60", "Simulated time"))
+        .arg(number("seconds", "60", "Simulated time in seconds"))
         .arg(number(
             "seed",
             "1",
             "Seed; the same seed gives the same counts and times",
         ))
-        .arg(number("edits", "5", "Edits of the table"))
-        .arg(number("deaths", "3", "Nodes that die"))
-        .arg(number(
-            "loss-per-mille",
-            "1",
-            "Datagrams lost, in thousandths",
-        ));
+        .arg(number("edits", "5", "Number of edits of the table"))
+        .arg(number("deaths", "3", "Number of nodes that die"))
+        .arg(number("loss-per-mille", "1", "Lost datagrams per thousand"));
     Command::new("linkhold-fleet")
-        .about("Hollow fleet: the control logic of many nodes on a simulated network and clock")
+        .about("Fleet simulation: the control logic of many nodes on a simulated network and clock")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(run)
@@ -77,7 +73,7 @@
 fn main() -> Result<()> {
     let matches = command().get_matches();
     let Some(("run", arguments)) = matches.subcommand() else {
-        unreachable!("clap demands a known subcommand");
+        unreachable!("clap requires a known subcommand");
     };
     let options = options_of(arguments);
     let nodes = options.nodes as u64;
--- a/crates/linkhold-fleet/src/network.rs
+++ b/crates/linkhold-fleet/src/network.rs
@@ -1,19 +1,19 @@
-//! The simulated network: places, latencies and loss.
+//! The simulated network: node locations, latencies and loss.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Where a node stands.
+/// Region and zone of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Region.
     pub region: u32,
-    /// Zone, unique over all regions.
+    /// Zone, unique across regions.
     pub zone: u32,
 }
 
-/// What the network does.
+/// Topology, latencies and faults of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkOptions {
     /// Number of regions.
@@ -26,9 +26,9 @@
     pub zone_latency: Duration,
     /// One-way latency between regions.
     pub region_latency: Duration,
-    /// Share of datagrams that are lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// Share of datagrams that arrive twice.
+    /// Fraction of datagrams that arrive twice.
     pub duplication: f64,
 }
 
@@ -47,17 +47,18 @@
 }
 
 impl NetworkOptions {
-    /// Place of a node; zones and regions take turns.
-    pub fn place_of(&self, node: usize) -> Place {
+    /// Returns the location of a node. Nodes are assigned round-robin to zones, and
+    /// zones to regions.
+    pub fn location_of(&self, node: usize) -> Location {
         let zone = u32::try_from(node).unwrap_or_default() % self.zones;
-        Place {
+        Location {
             region: zone % self.regions,
             zone,
         }
     }
 
-    /// One-way latency between two places, with a tenth of jitter.
-    pub fn latency(&self, from: Place, to: Place, random: &mut impl Rng) -> Duration {
+    /// Draws the one-way latency between two locations, with up to 10 % jitter.
+    pub fn latency(&self, from: Location, to: Location, random: &mut impl Rng) -> Duration {
         let base = if from.zone == to.zone {
             self.local_latency
         } else if from.region == to.region {
--- a/crates/linkhold-fleet/src/node.rs
+++ b/crates/linkhold-fleet/src/node.rs
@@ -1,4 +1,4 @@
-//! One hollow node.
+//! One simulated node.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -14,18 +14,19 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::network::Place;
+use crate::network::Location;
 use crate::simulation::Mutation;
 
-/// First port; a node's port tells its index.
+/// Port of node 0. A node's address and port encode its index.
 const FIRST_PORT: u32 = 1;
 const PORTS_PER_ADDRESS: u32 = 60_000;
-/// Bytes of IP and UDP headers for each datagram (RFC 791, RFC 768).
+/// Bytes of the IP and UDP headers of a datagram (RFC 791, RFC 768).
 pub const DATAGRAM_OVERHEAD: u64 = 28;
-/// Bytes of IP and TCP headers, handshake and close for a table exchange.
+/// Bytes of IP and TCP headers, handshake and close of a table exchange; each
+/// message counts half.
 pub const STREAM_OVERHEAD: u64 = 400;
 
-/// Something a node sends.
+/// A message that a node sends.
 pub enum Outgoing {
     /// A membership datagram.
     Datagram {
@@ -34,7 +35,7 @@
         /// Encoded message.
         bytes: Vec<u8>,
     },
-    /// A table request or answer on a stream.
+    /// A table request or response on a stream.
     Table {
         /// Index of the receiver.
         to: usize,
@@ -43,36 +44,36 @@
     },
 }
 
-/// What a node has spent.
+/// Resources that a node has used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
+pub struct ResourceUsage {
     /// Bytes sent, headers included.
     pub bytes: u64,
     /// Messages sent.
     pub messages: u64,
     /// Processor time.
-    pub processor: Duration,
+    pub cpu_time: Duration,
 }
 
 /// A node's control logic with its counters.
-pub struct HollowNode {
+pub struct SimulatedNode {
     /// Index in the simulation.
     pub index: usize,
-    /// Where it stands.
-    pub place: Place,
-    /// Membership.
+    /// Region and zone.
+    pub location: Location,
+    /// Membership protocol.
     pub membership: Membership,
-    /// Table.
+    /// Table distribution.
     pub spread: TableSpread,
-    /// Whether it runs.
+    /// Whether the node runs.
     pub is_up: bool,
-    /// Until when it is paused; messages wait.
+    /// End of the node's pause; datagrams that arrive earlier wait until then.
     pub paused_until: Duration,
-    /// What it has spent.
-    pub spent: Spent,
-    /// Changes of its view, in order.
+    /// Resources used so far.
+    pub usage: ResourceUsage,
+    /// Membership changes that the node has seen, in order.
     pub changes: Vec<(Duration, MemberChange)>,
-    /// Simulated time of the tick that is scheduled.
+    /// Simulated time of the scheduled tick; `Duration::MAX` if none is scheduled.
     pub scheduled_tick: Duration,
     random: ChaCha8Rng,
     key: PeerKey,
@@ -81,7 +82,7 @@
     mutation: Option<Mutation>,
 }
 
-/// Address of a node by its index.
+/// Returns the address of the node with this index.
 pub fn address_of(index: usize) -> SocketAddr {
     let index = u32::try_from(index).unwrap_or_default();
     let address = Ipv4Addr::from(0x7f00_0001 + index / PORTS_PER_ADDRESS);
@@ -89,7 +90,8 @@
     SocketAddr::from((address, u16::try_from(port).unwrap_or_default()))
 }
 
-/// Index of the node with this address.
+/// Returns the index of the node with this address; `None` if the address is out
+/// of range.
 pub fn index_of(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else {
         return None;
@@ -99,16 +101,16 @@
     usize::try_from(index).ok()
 }
 
-/// Identity of a node by its index.
+/// Returns the ID of the node with this index.
 pub fn node_id(index: usize) -> NodeId {
     NodeId::of_name(&format!("node-{index}"))
 }
 
-impl HollowNode {
-    /// A node that knows its seeds.
+impl SimulatedNode {
+    /// Creates a node that knows only its seed addresses.
     pub fn new(
         index: usize,
-        place: Place,
+        location: Location,
         settings: MembershipSettings,
         seeds: Vec<SocketAddr>,
         seed: u64,
@@ -117,15 +119,15 @@
         let now = Duration::ZERO;
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(index as u64);
-        let own = own_record(index, place, 1);
+        let own = own_record(index, location, 1);
         Self {
             index,
-            place,
+            location,
             membership: Membership::new(settings, own, seeds.clone(), now),
             spread: TableSpread::default(),
             is_up: true,
             paused_until: Duration::ZERO,
-            spent: Spent::default(),
+            usage: ResourceUsage::default(),
             changes: Vec::new(),
             scheduled_tick: Duration::MAX,
             random,
@@ -136,23 +138,22 @@
         }
     }
 
-    /// Starts the node again with nothing but its settings, as a machine
-    /// without a disk does.
+    /// Restarts the node with only its settings, like a machine without a disk.
     pub fn restart(&mut self, now: Duration) {
-        // The real incarnation is the time of the start in milliseconds.
+        // A real node uses its start time in milliseconds as its incarnation.
         let incarnation = u64::try_from(now.as_millis()).unwrap_or_default() + 2;
-        let own = own_record(self.index, self.place, incarnation);
+        let own = own_record(self.index, self.location, incarnation);
         self.membership = Membership::new(self.settings, own, self.seeds.clone(), now);
         self.spread = TableSpread::default();
         self.is_up = true;
         self.paused_until = Duration::ZERO;
     }
 
-    /// Does what is due.
+    /// Runs the membership work that is due.
     pub fn tick(&mut self, now: Duration) -> Vec<Outgoing> {
         let start = Instant::now();
         let output = self.membership.on_tick(now, &mut self.random);
-        self.finish(output, now, start)
+        self.collect_output(output, now, start)
     }
 
     /// Handles a datagram.
@@ -161,18 +162,18 @@
         let Ok(mut message) = decode_message(bytes, &self.key) else {
             return Vec::new();
         };
-        self.mutate(&mut message);
+        self.apply_mutation(&mut message);
         let output = self.membership.on_message(&message, now, &mut self.random);
         let from = message.from.address;
         let action = self.spread.on_announcement(from, message.announcement, now);
         let mut outgoing = Vec::new();
-        self.act(action, &mut outgoing);
-        outgoing.extend(self.finish(output, now, start));
+        self.apply_action(action, &mut outgoing);
+        outgoing.extend(self.collect_output(output, now, start));
         outgoing
     }
 
-    /// Applies the switched-off mechanism, if there is one.
-    fn mutate(&mut self, message: &mut Message) {
+    /// Disables the mechanism that the mutation names, if any.
+    fn apply_mutation(&mut self, message: &mut Message) {
         match self.mutation {
             Some(Mutation::LoseRefutations) => {
                 let is_kept = |record: &MemberRecord| record.incarnation == 1;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Handles a table message; an answer goes back to `from`.
+    /// Handles a table message; responses go to the node `from`.
     pub fn receive_table(&mut self, from: usize, bytes: &[u8]) -> Vec<Outgoing> {
         let start = Instant::now();
         let mut outgoing = Vec::new();
@@ -200,23 +201,23 @@
             }
             Ok(TableMessage::Response(response)) => {
                 let action = self.spread.on_response(response);
-                self.act(action, &mut outgoing);
+                self.apply_action(action, &mut outgoing);
             }
             Err(_) => {}
         }
-        self.spent.processor += start.elapsed();
+        self.usage.cpu_time += start.elapsed();
         outgoing
     }
 
-    /// A version was read from the store.
-    pub fn read_store(&mut self, version: u64, sheet: linkhold_core::table::Sheet) {
+    /// Handles a table version that was read from the store.
+    pub fn on_store_read(&mut self, version: u64, sheet: linkhold_core::table::Sheet) {
         let start = Instant::now();
         let action = self.spread.on_store_version(version, sheet);
-        self.act(action, &mut Vec::new());
-        self.spent.processor += start.elapsed();
+        self.apply_action(action, &mut Vec::new());
+        self.usage.cpu_time += start.elapsed();
     }
 
-    fn act(&mut self, action: Option<SpreadAction>, outgoing: &mut Vec<Outgoing>) {
+    fn apply_action(&mut self, action: Option<SpreadAction>, outgoing: &mut Vec<Outgoing>) {
         match action {
             Some(SpreadAction::Request(to, request)) => {
                 if let Some(to) = index_of(to) {
@@ -236,36 +237,36 @@
 
     fn send_table(&mut self, to: usize, message: TableMessage, outgoing: &mut Vec<Outgoing>) {
         let bytes = encode_table(message, &self.key);
-        self.spent.bytes += bytes.len() as u64 + STREAM_OVERHEAD / 2;
-        self.spent.messages += 1;
+        self.usage.bytes += bytes.len() as u64 + STREAM_OVERHEAD / 2;
+        self.usage.messages += 1;
         outgoing.push(Outgoing::Table { to, bytes });
     }
 
-    fn finish(&mut self, output: Output, now: Duration, start: Instant) -> Vec<Outgoing> {
+    fn collect_output(&mut self, output: Output, now: Duration, start: Instant) -> Vec<Outgoing> {
         for change in output.changes {
             self.changes.push((now, change));
         }
         let mut outgoing = Vec::new();
         for send in output.messages {
             let bytes = encode_message(&send.message, &self.key);
-            self.spent.bytes += bytes.len() as u64 + DATAGRAM_OVERHEAD;
-            self.spent.messages += 1;
+            self.usage.bytes += bytes.len() as u64 + DATAGRAM_OVERHEAD;
+            self.usage.messages += 1;
             if let Some(to) = index_of(send.to) {
                 outgoing.push(Outgoing::Datagram { to, bytes });
             }
         }
-        self.spent.processor += start.elapsed();
+        self.usage.cpu_time += start.elapsed();
         outgoing
     }
 }
 
-/// What a node states of itself at a start.
-pub fn own_record(index: usize, place: Place, incarnation: u64) -> MemberRecord {
+/// Returns the membership record that a node announces when it starts.
+pub fn own_record(index: usize, location: Location, incarnation: u64) -> MemberRecord {
     MemberRecord {
         node: node_id(index),
         address: address_of(index),
         client_address: address_of(index),
-        zone: place.zone,
+        zone: location.zone,
         incarnation,
         state: MemberState::Alive,
     }
--- a/crates/linkhold-fleet/src/report.rs
+++ b/crates/linkhold-fleet/src/report.rs
@@ -7,49 +7,49 @@
 use crate::node::node_id;
 use crate::simulation::Simulation;
 
-/// What a run came to. Counts and simulated times depend on the seed alone;
+/// Results of a run. Counts and simulated times depend only on the seed;
 /// processor time is measured.
 #[derive(Clone, Debug)]
 pub struct FleetReport {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Bytes a node sent in a second, headers included, on average.
+    /// Mean bytes per second that a node sent, headers included.
     pub bytes_per_second: f64,
-    /// The same for the node that sent most.
+    /// Bytes per second of the node that sent the most.
     pub most_bytes_per_second: f64,
-    /// Messages a node sent in a second, on average.
+    /// Mean messages per second that a node sent.
     pub messages_per_second: f64,
-    /// Share of a core a node used, on average.
+    /// Mean fraction of a core that a node used.
     pub cpu_share: f64,
-    /// Time from an edit until a node had it in force.
+    /// Times from an edit until a node had it in force, sorted.
     pub in_force: Vec<Duration>,
-    /// Accepted edits that some live node never had in force.
+    /// Number of live nodes that do not have the newest accepted edit in force.
     pub edits_missing: usize,
-    /// Time from a death until a live node believed it.
+    /// Times from a death until a live node considered the node dead, sorted.
     pub detection: Vec<Duration>,
-    /// Deaths that some live node never believed.
+    /// Pairs of a death and a live node that never detected it.
     pub deaths_missed: usize,
-    /// Times a live node was believed dead by another.
+    /// Times a node considered a node dead that did not die in the run.
     pub false_deaths: usize,
-    /// Times a live node was suspected by another that had no cause in a
-    /// death, pause or partition.
+    /// Times a node suspected a node that did not die in the run. Suspicions caused
+    /// by a pause or partition count too.
     pub false_suspicions: usize,
     /// Times a node's table version went down.
     pub version_regressions: usize,
 }
 
 impl FleetReport {
-    /// Sums a simulation up.
+    /// Summarizes a simulation.
     pub fn new(simulation: &Simulation) -> Self {
         let seconds = simulation.now.as_secs_f64();
         let count = simulation.nodes.len() as f64;
-        let total = |value: fn(&crate::node::Spent) -> f64| -> f64 {
-            simulation.nodes.iter().map(|node| value(&node.spent)).sum()
+        let total = |value: fn(&crate::node::ResourceUsage) -> f64| -> f64 {
+            simulation.nodes.iter().map(|node| value(&node.usage)).sum()
         };
         let most = simulation
             .nodes
             .iter()
-            .map(|node| node.spent.bytes)
+            .map(|node| node.usage.bytes)
             .max()
             .unwrap_or(0);
         let (detection, deaths_missed) = detection(simulation);
@@ -58,21 +58,21 @@
         in_force.sort_unstable();
         Self {
             nodes: simulation.nodes.len(),
-            bytes_per_second: total(|spent| spent.bytes as f64) / count / seconds,
+            bytes_per_second: total(|usage| usage.bytes as f64) / count / seconds,
             most_bytes_per_second: most as f64 / seconds,
-            messages_per_second: total(|spent| spent.messages as f64) / count / seconds,
-            cpu_share: total(|spent| spent.processor.as_secs_f64()) / count / seconds,
+            messages_per_second: total(|usage| usage.messages as f64) / count / seconds,
+            cpu_share: total(|usage| usage.cpu_time.as_secs_f64()) / count / seconds,
             in_force,
             edits_missing: edits_missing(simulation),
             detection,
             deaths_missed,
-            false_deaths: count_false(simulation, MemberState::Dead),
-            false_suspicions: count_false(simulation, MemberState::Suspect),
+            false_deaths: count_false_changes(simulation, MemberState::Dead),
+            false_suspicions: count_false_changes(simulation, MemberState::Suspect),
             version_regressions: simulation.version_regressions,
         }
     }
 
-    /// The report as one line of key=value pairs.
+    /// Formats the report as one line of key=value pairs.
     pub fn line(&self, resident_per_node: u64) -> String {
         let milliseconds = |times: &[Duration], quantile: f64| {
             let index = (times.len() as f64 * quantile) as usize;
@@ -105,16 +105,17 @@
     }
 }
 
-/// For each death and each live node, the time until it was believed.
+/// Returns, for each death and each live node, the time until the node considered
+/// the other dead, and the number of deaths not detected.
 fn detection(simulation: &Simulation) -> (Vec<Duration>, usize) {
     let mut times = Vec::new();
     let mut missed = 0;
     for (dead, died_at) in &simulation.deaths {
         for node in simulation.nodes.iter().filter(|node| node.is_up) {
-            let believed = node.changes.iter().find(|(at, change)| {
+            let detected = node.changes.iter().find(|(at, change)| {
                 at >= died_at && change.node == node_id(*dead) && change.state == MemberState::Dead
             });
-            match believed {
+            match detected {
                 Some((at, _)) => times.push(*at - *died_at),
                 None => missed += 1,
             }
@@ -133,8 +134,8 @@
     live.filter(|node| node.spread.version() < newest).count()
 }
 
-/// Changes to `state` about nodes that never died.
-fn count_false(simulation: &Simulation, state: MemberState) -> usize {
+/// Counts changes to `state` of nodes that never died.
+fn count_false_changes(simulation: &Simulation, state: MemberState) -> usize {
     let dead: Vec<_> = simulation
         .deaths
         .iter()
--- a/crates/linkhold-fleet/src/simulation.rs
+++ b/crates/linkhold-fleet/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The event loop of a hollow fleet.
+//! The event loop of the fleet simulation.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,53 +12,53 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::network::NetworkOptions;
-use crate::node::{HollowNode, Outgoing, address_of, node_id, own_record};
+use crate::node::{Outgoing, SimulatedNode, address_of, node_id, own_record};
 use crate::report::FleetReport;
 
-/// Nodes that read the store.
+/// Number of nodes that read the table from the store.
 pub const TABLE_READERS: usize = 3;
-/// How often a reader reads it.
+/// How often a node reads the store.
 const READ_PERIOD: Duration = Duration::from_millis(500);
 const SEED_NODES: usize = 3;
 const INSTANCES: usize = 3;
 const TABLE_DUTY: &str = "table";
 
-/// What to simulate.
+/// Options of a simulation.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Databases of the table.
+    /// Number of databases in the table.
     pub databases: usize,
     /// Simulated time.
     pub duration: Duration,
-    /// Seed.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Network.
     pub network: NetworkOptions,
-    /// Membership times.
+    /// Membership settings.
     pub membership: MembershipSettings,
-    /// Whether nodes start with a full view, as in a fleet that has been
+    /// Whether nodes start with all members and the table, like a fleet that has been
     /// running.
     pub start_converged: bool,
-    /// Edits of the table, spread over the run.
+    /// Number of table edits, spread over the run.
     pub edits: usize,
-    /// Nodes that die, spread over the run, and stay away.
+    /// Number of nodes that die and do not restart, spread over the run.
     pub deaths: usize,
-    /// A mechanism that is switched off, to show that its loss is noticed.
+    /// A mechanism to disable, to check that the properties fail without it.
     pub mutation: Option<Mutation>,
 }
 
-/// A mechanism that a test may switch off.
+/// A mechanism that a test can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Refutations are lost: what was said of a node first stays.
+    /// Refutations are lost: only records of a node's first incarnation arrive.
     LoseRefutations,
-    /// A node follows an announcement to a lower version.
+    /// A node drops its table when a peer announces a lower version.
     FollowLowerVersions,
 }
 
-/// Something that happens at a simulated time.
+/// An event at a simulated time.
 enum Event {
     Tick(usize),
     Datagram {
@@ -106,19 +106,19 @@
     /// Options.
     pub options: FleetOptions,
     /// Nodes by index.
-    pub nodes: Vec<HollowNode>,
+    pub nodes: Vec<SimulatedNode>,
     /// Simulated time.
     pub now: Duration,
-    /// Accepted edits: version and time.
+    /// Accepted edits: version and simulated time.
     pub edits: Vec<(u64, Duration)>,
-    /// Deaths: node and time.
+    /// Deaths: node index and simulated time.
     pub deaths: Vec<(usize, Duration)>,
-    /// For each version, how long after its edit each node had it.
+    /// For each version and node, the time from the edit until the node had it in
+    /// force.
     pub in_force: Vec<(u64, Duration)>,
-    /// Times a node's version went down.
+    /// Number of times a node's table version went down.
     pub version_regressions: usize,
-    /// Pairs of nodes that cannot reach each other, by group; equal numbers
-    /// reach each other.
+    /// Partition number of each node; only nodes with equal numbers reach each other.
     pub partition: Vec<u32>,
     /// Whether the store answers.
     pub store_is_up: bool,
@@ -130,15 +130,15 @@
 }
 
 impl Simulation {
-    /// Starts all nodes.
+    /// Creates all nodes and schedules their start.
     pub fn new(options: FleetOptions) -> Self {
         let seeds: Vec<SocketAddr> = (0..SEED_NODES.min(options.nodes)).map(address_of).collect();
-        let nodes: Vec<HollowNode> = (0..options.nodes)
+        let nodes: Vec<SimulatedNode> = (0..options.nodes)
             .map(|index| {
-                let place = options.network.place_of(index);
-                HollowNode::new(
+                let location = options.network.location_of(index);
+                SimulatedNode::new(
                     index,
-                    place,
+                    location,
                     options.membership,
                     seeds.clone(),
                     options.seed,
@@ -150,7 +150,7 @@
             partition: vec![0; options.nodes],
             seen_versions: vec![0; options.nodes],
             random: ChaCha8Rng::seed_from_u64(options.seed),
-            stored: (1, first_table(options.databases)),
+            stored: (1, initial_table(options.databases)),
             nodes,
             now: Duration::ZERO,
             edits: Vec::new(),
@@ -173,32 +173,33 @@
             if options.start_converged {
                 self.converge(index);
             }
-            // Nodes do not start in step.
+            // Start times are random, so that nodes do not run in lockstep.
             let offset = period.mul_f64(self.random.random_range(0.0..1.0));
             self.schedule(offset, Event::Tick(index));
             self.schedule(offset, Event::ReadStore(index));
         }
-        let spread = |count: usize, number: usize| {
+        let time_of = |count: usize, number: usize| {
             options
                 .duration
                 .mul_f64(0.1 + 0.6 * number as f64 / count.max(1) as f64)
         };
         for number in 0..options.edits {
-            self.schedule(spread(options.edits, number), Event::Edit);
+            self.schedule(time_of(options.edits, number), Event::Edit);
         }
         for number in 0..options.deaths {
-            self.schedule(spread(options.deaths, number), Event::Die);
+            self.schedule(time_of(options.deaths, number), Event::Die);
         }
     }
 
+    /// Gives a node all members and the table.
     fn converge(&mut self, index: usize) {
         let network = self.options.network;
         let all =
-            (0..self.options.nodes).map(|other| own_record(other, network.place_of(other), 1));
+            (0..self.options.nodes).map(|other| own_record(other, network.location_of(other), 1));
         let (version, sheet) = self.stored.clone();
         let node = &mut self.nodes[index];
         node.membership.preload_members(all, Duration::ZERO);
-        node.read_store(version, sheet);
+        node.on_store_read(version, sheet);
         self.seen_versions[index] = version;
     }
 
@@ -216,7 +217,7 @@
         self.run_until(self.options.duration);
     }
 
-    /// Runs up to a simulated time.
+    /// Runs until a simulated time.
     pub fn run_until(&mut self, end: Duration) {
         while self
             .queue
@@ -234,22 +235,22 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(index) => self.tick(index),
-            Event::Datagram { to, bytes } => self.datagram(to, bytes),
+            Event::Datagram { to, bytes } => self.deliver_datagram(to, bytes),
             Event::Table { from, to, bytes } => {
                 if self.nodes[to].is_up {
                     let outgoing = self.nodes[to].receive_table(from, &bytes);
-                    self.after(to, outgoing);
+                    self.process_output(to, outgoing);
                 }
             }
             Event::ReadStore(index) => self.read_store(index),
             Event::Edit => self.edit(),
-            Event::Die => self.die(),
+            Event::Die => self.kill_random_node(),
         }
     }
 
     fn tick(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        // An earlier tick was scheduled in place of this one.
+        // A stale tick, which an earlier one replaced.
         if !node.is_up || self.now < node.scheduled_tick && node.scheduled_tick != Duration::MAX {
             return;
         }
@@ -261,10 +262,10 @@
         }
         let outgoing = node.tick(self.now);
         node.scheduled_tick = Duration::MAX;
-        self.after(index, outgoing);
+        self.process_output(index, outgoing);
     }
 
-    fn datagram(&mut self, to: usize, bytes: Vec<u8>) {
+    fn deliver_datagram(&mut self, to: usize, bytes: Vec<u8>) {
         let node = &mut self.nodes[to];
         if !node.is_up {
             return;
@@ -275,15 +276,15 @@
             return;
         }
         let outgoing = node.receive(&bytes, self.now);
-        self.after(to, outgoing);
+        self.process_output(to, outgoing);
     }
 
-    /// Sends what a node wants sent, notes its table and plans its next tick.
-    fn after(&mut self, index: usize, outgoing: Vec<Outgoing>) {
+    /// Sends a node's messages, records its table version and schedules its next tick.
+    fn process_output(&mut self, index: usize, outgoing: Vec<Outgoing>) {
         for message in outgoing {
             self.send(index, message);
         }
-        self.note_version(index);
+        self.record_version(index);
         let next = self.nodes[index].membership.next_tick().max(self.now);
         if next < self.nodes[index].scheduled_tick {
             self.nodes[index].scheduled_tick = next;
@@ -300,8 +301,8 @@
             return;
         }
         let network = self.options.network;
-        let places = (self.nodes[from].place, self.nodes[to].place);
-        let latency = network.latency(places.0, places.1, &mut self.random);
+        let locations = (self.nodes[from].location, self.nodes[to].location);
+        let latency = network.latency(locations.0, locations.1, &mut self.random);
         let at = self.now + latency;
         match outgoing {
             Outgoing::Datagram { bytes, .. } => {
@@ -315,14 +316,14 @@
                 }
                 self.schedule(at, Event::Datagram { to, bytes });
             }
-            // Two more ways for the handshake.
+            // Two more one-way latencies for the TCP handshake.
             Outgoing::Table { bytes, .. } => {
                 self.schedule(at + 2 * latency, Event::Table { from, to, bytes });
             }
         }
     }
 
-    fn note_version(&mut self, index: usize) {
+    fn record_version(&mut self, index: usize) {
         let version = self.nodes[index].spread.version();
         let seen = self.seen_versions[index];
         if version < seen {
@@ -338,7 +339,7 @@
         self.seen_versions[index] = version;
     }
 
-    /// A node reads the store if the duty is its own, or if it has no table.
+    /// Reads the store if the node is one of the table's readers or has no table.
     fn read_store(&mut self, index: usize) {
         let next = self.now + READ_PERIOD;
         if self.nodes[index].is_up {
@@ -347,14 +348,14 @@
             let reads = readers.contains(&node_id(index)) || node.spread.version() == 0;
             if reads && self.store_is_up && self.now >= node.paused_until {
                 let (version, sheet) = self.stored.clone();
-                self.nodes[index].read_store(version, sheet);
-                self.after(index, Vec::new());
+                self.nodes[index].on_store_read(version, sheet);
+                self.process_output(index, Vec::new());
             }
         }
         self.schedule(next, Event::ReadStore(index));
     }
 
-    /// An operator's edit is accepted by the store.
+    /// Edits the table in the store: sets the weight of a random row.
     pub fn edit(&mut self) {
         let row = self.random.random_range(0..self.stored.1.rows.len());
         let weight = self.random.random_range(0..1_000_u32).to_string();
@@ -364,8 +365,8 @@
         self.edits.push((self.stored.0, self.now));
     }
 
-    /// A node dies that is no seed.
-    fn die(&mut self) {
+    /// Kills a random live node that is not a seed.
+    fn kill_random_node(&mut self) {
         let live: Vec<usize> = (SEED_NODES..self.nodes.len())
             .filter(|index| self.nodes[*index].is_up)
             .collect();
@@ -373,16 +374,16 @@
             return;
         }
         let index = live[self.random.random_range(0..live.len())];
-        self.stop(index);
+        self.kill(index);
     }
 
-    /// Ends a node at once.
-    pub fn stop(&mut self, index: usize) {
+    /// Kills a node.
+    pub fn kill(&mut self, index: usize) {
         self.nodes[index].is_up = false;
         self.deaths.push((index, self.now));
     }
 
-    /// Starts a node again with nothing but its settings.
+    /// Restarts a node with only its settings.
     pub fn restart(&mut self, index: usize) {
         let now = self.now;
         self.nodes[index].restart(now);
@@ -391,12 +392,12 @@
         self.schedule(now, Event::Tick(index));
     }
 
-    /// Pauses a node: it does nothing, and what arrives waits.
+    /// Pauses a node: it does nothing, and arriving datagrams wait.
     pub fn pause(&mut self, index: usize, time: Duration) {
         self.nodes[index].paused_until = self.now + time;
     }
 
-    /// Whether every node that is up believes every other one alive.
+    /// Returns whether every running node considers every other running node alive.
     pub fn all_agree(&self) -> bool {
         self.nodes.iter().filter(|node| node.is_up).all(|node| {
             self.nodes
@@ -409,14 +410,14 @@
         })
     }
 
-    /// Sums the run up.
+    /// Summarizes the run.
     pub fn report(&self) -> FleetReport {
         FleetReport::new(self)
     }
 }
 
-/// A table of the wanted number of databases.
-pub fn first_table(databases: usize) -> Sheet {
+/// Returns a table with this many databases.
+pub fn initial_table(databases: usize) -> Sheet {
     let row = |database: usize, instance: usize| {
         [
             "service".to_owned(),
--- a/crates/linkhold-fleet/tests/properties.rs
+++ b/crates/linkhold-fleet/tests/properties.rs
@@ -1,8 +1,9 @@
-//! Properties of membership and table spreading under loss, duplication,
-//! pauses, restarts, splits and outages of the store, in any order.
+//! Properties of membership and table distribution under loss, duplication,
+//! pauses, restarts, partitions and store outages, in any order.
 //!
-//! Each property is also run with its mechanism switched off and must fail
-//! then.
+//! Guards against live members that stay dead in another node's list and against
+//! nodes that miss the newest table version or return to a lower one. The tests
+//! with a mutation disable one mechanism each and expect the check to fail.
 
 use std::time::Duration;
 
@@ -14,10 +15,10 @@
 const NODES: usize = 6;
 const CASES: u32 = 40;
 const STEPS: usize = 12;
-/// Time between steps; long enough for a suspicion to become a death.
+/// Time between steps; long enough for a suspect to be declared dead.
 const STEP: Duration = Duration::from_secs(3);
-/// Quiet time after the last step in which everything must mend.
-const MENDING: Duration = Duration::from_secs(240);
+/// Time without faults after the last step, in which the fleet must recover.
+const RECOVERY_TIME: Duration = Duration::from_secs(240);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -91,14 +92,14 @@
             simulation.restart(node);
         }
     }
-    // Loss alone may raise suspicions; the end is judged without it.
+    // Loss alone can cause suspicions, so the end state is checked without loss.
     simulation.options.network.loss = 0.0;
-    simulation.run_until(now + MENDING);
+    simulation.run_until(now + RECOVERY_TIME);
     if simulation.version_regressions > 0 {
         return Err("a version went down".to_owned());
     }
     if !simulation.all_agree() {
-        return Err("a live member is not believed alive".to_owned());
+        return Err("a live member is not considered alive".to_owned());
     }
     let newest = simulation.edits.last().map_or(1, |(version, _)| *version);
     let missing = simulation
@@ -112,7 +113,7 @@
     Ok(())
 }
 
-fn explore(mutation: Option<Mutation>) -> Result<(), String> {
+fn check_random_schedules(mutation: Option<Mutation>) -> Result<(), String> {
     let config = Config {
         cases: CASES,
         rng_seed: RngSeed::Fixed(5),
@@ -127,24 +128,26 @@
     match result {
         Ok(()) => Ok(()),
         Err(TestError::Fail(reason, _)) => Err(reason.message().to_owned()),
-        Err(TestError::Abort(reason)) => panic!("the run was given up: {reason}"),
+        Err(TestError::Abort(reason)) => panic!("proptest aborted the run: {reason}"),
     }
 }
 
 #[test]
 fn everything_mends_and_no_version_goes_down() {
-    assert_eq!(explore(None), Ok(()));
+    assert_eq!(check_random_schedules(None), Ok(()));
 }
 
 #[test]
 fn without_refutations_a_live_member_stays_dead() {
-    let violation = explore(Some(Mutation::LoseRefutations)).expect_err("must be noticed");
-    assert_eq!(violation, "a live member is not believed alive");
+    let violation =
+        check_random_schedules(Some(Mutation::LoseRefutations)).expect_err("the check must fail");
+    assert_eq!(violation, "a live member is not considered alive");
 }
 
 #[test]
 fn following_lower_versions_is_noticed() {
-    let violation = explore(Some(Mutation::FollowLowerVersions)).expect_err("must be noticed");
+    let violation = check_random_schedules(Some(Mutation::FollowLowerVersions))
+        .expect_err("the check must fail");
     assert_eq!(violation, "a version went down");
 }
 
@@ -165,7 +168,7 @@
         });
         simulation.run();
         let mut report = simulation.report();
-        // Processor time is measured and differs.
+        // Processor time is measured, so it differs between runs.
         report.cpu_share = 0.0;
         report.line(0)
     };
