--- a/crates/linkhold-standin/src/group/mod.rs
+++ b/crates/linkhold-standin/src/group/mod.rs
@@ -168,7 +168,7 @@
     }
 
     /// Rows of a query on the present primary's own data, as text.
-    pub async fn judge(&self, query: &str) -> Result<Vec<Vec<Option<String>>>, String> {
+    pub async fn query_primary(&self, query: &str) -> Result<Vec<Vec<Option<String>>>, String> {
         let primary = self.primary().ok_or("no primary")?;
         let engine = self.shared.engine(primary);
         let engine = engine.lock().await;
--- a/crates/linkhold-standin/src/relay.rs
+++ b/crates/linkhold-standin/src/relay.rs
@@ -36,9 +36,9 @@
     pub link: Link,
     /// Time each byte takes in each direction.
     pub one_way_delay: Duration,
-    /// Connections of this count of silences and of earlier ones pass nothing on any
-    /// more, for good.
-    pub silences: u64,
+    /// Number of permanent silences so far; connections opened before the last one forward
+    /// nothing any more.
+    pub permanent_silences: u64,
 }
 
 /// A running relay. Dropping it stops it.
@@ -78,10 +78,11 @@
         self.state.send_modify(|state| state.link = link);
     }
 
-    /// Has all connections that stand fall silent for good, without a reset. New ones
+    /// Stops forwarding on all open connections for good, without a reset. New connections
     /// work.
-    pub fn silence_standing(&self) {
-        self.state.send_modify(|state| state.silences += 1);
+    pub fn silence_open_connections(&self) {
+        self.state
+            .send_modify(|state| state.permanent_silences += 1);
     }
 
     /// Changes how long each byte takes in each direction.
@@ -152,10 +153,10 @@
 ) {
     let mut under_way: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let mut ended = false;
-    let silences_before = state.borrow().silences;
+    let silences_before = state.borrow().permanent_silences;
     loop {
         let current = *state.borrow_and_update();
-        let is_silent = current.silences > silences_before;
+        let is_silent = current.permanent_silences > silences_before;
         let stalled = is_silent || current.link == Link::BlackHole;
         let due = under_way.front().map(|(due, _)| *due);
         if due.is_none() && ended {
--- a/crates/linkhold/src/demo/world.rs
+++ b/crates/linkhold/src/demo/world.rs
@@ -151,7 +151,7 @@
         for group in &self.groups {
             wait_for_rest(group).await?;
             let rows = group
-                .judge("SELECT id FROM publications ORDER BY id")
+                .query_primary("SELECT id FROM publications ORDER BY id")
                 .await
                 .map_err(|error| eyre!(error))?;
             truth.push(DatabaseTruth {
