--- a/crates/linkhold-standin/src/control.rs
+++ b/crates/linkhold-standin/src/control.rs
@@ -1,4 +1,4 @@
-//! HTTP control of stand-ins that run as a process of their own.
+//! HTTP control of stand-ins that run as a separate process.
 //!
 //! `POST /instances/{i}/{action}` with action `crash`, `restart`, `isolate`
 //! or `heal`; `POST /instances/{i}/lag?milliseconds=N` and
@@ -21,19 +21,19 @@
 use crate::group::{Group, LagProfile};
 use crate::platform::{Machine, Platform, PlatformFaults};
 
-/// The stand-ins a process runs.
-pub struct Controlled {
+/// The stand-ins of a process.
+pub struct StandIns {
     /// The database group.
     pub group: Group,
     /// The platform.
     pub platform: Platform,
 }
 
-type Shared = Arc<Controlled>;
+type Shared = Arc<StandIns>;
 
-/// Binds the control server and returns its address and its future.
+/// Binds the control server; returns its address and the future that serves it.
 pub async fn bind(
-    controlled: Shared,
+    standins: Shared,
     port: u16,
 ) -> std::io::Result<(SocketAddr, impl Future<Output = std::io::Result<()>>)> {
     let listener = TcpListener::bind(("127.0.0.1", port)).await?;
@@ -44,7 +44,7 @@
         .route("/records", get(records))
         .route("/machines/{instance}/{state}", post(list_machine))
         .route("/platform", post(set_platform))
-        .with_state(controlled);
+        .with_state(standins);
     Ok((address, async move { axum::serve(listener, router).await }))
 }
 
@@ -55,11 +55,11 @@
 }
 
 async fn act(
-    State(controlled): State<Shared>,
+    State(standins): State<Shared>,
     Path((instance, action)): Path<(usize, String)>,
     Query(amount): Query<Amount>,
 ) -> Response {
-    let group = &controlled.group;
+    let group = &standins.group;
     if instance >= group.addresses().len() {
         return StatusCode::NOT_FOUND.into_response();
     }
@@ -76,19 +76,19 @@
     StatusCode::NO_CONTENT.into_response()
 }
 
-async fn reports(State(controlled): State<Shared>) -> Response {
-    Json(controlled.group.reports()).into_response()
+async fn reports(State(standins): State<Shared>) -> Response {
+    Json(standins.group.reports()).into_response()
 }
 
-async fn records(State(controlled): State<Shared>) -> Response {
-    Json(controlled.group.records()).into_response()
+async fn records(State(standins): State<Shared>) -> Response {
+    Json(standins.group.records()).into_response()
 }
 
 async fn list_machine(
-    State(controlled): State<Shared>,
+    State(standins): State<Shared>,
     Path((instance, state)): Path<(usize, String)>,
 ) -> Response {
-    let addresses = controlled.group.addresses();
+    let addresses = standins.group.addresses();
     let machines = addresses
         .iter()
         .enumerate()
@@ -97,7 +97,7 @@
             state: if index == instance { &state } else { "live" }.to_owned(),
         })
         .collect();
-    controlled.platform.set_machines(machines);
+    standins.platform.set_machines(machines);
     StatusCode::NO_CONTENT.into_response()
 }
 
@@ -112,10 +112,10 @@
 }
 
 async fn set_platform(
-    State(controlled): State<Shared>,
+    State(standins): State<Shared>,
     Query(query): Query<PlatformQuery>,
 ) -> Response {
-    controlled.platform.set_faults(PlatformFaults {
+    standins.platform.set_faults(PlatformFaults {
         down: query.down,
         delay: Duration::from_millis(query.delay_milliseconds),
         lose_edit_answers: query.lose_edit_answers,
--- a/crates/linkhold-standin/src/group/engine.rs
+++ b/crates/linkhold-standin/src/group/engine.rs
@@ -7,21 +7,21 @@
 
 use super::values::column_type;
 
-/// A statement with its parameters, as it is shipped to replicas.
+/// A statement with its parameters, as shipped to replicas.
 #[derive(Clone, Debug)]
 pub struct LoggedStatement {
     pub text: Arc<str>,
     pub parameters: Vec<Value>,
 }
 
-/// A column of a result.
+/// Column of a result.
 #[derive(Clone, Debug)]
 pub struct Column {
     pub name: String,
     pub type_oid: u32,
 }
 
-/// Shape of a statement.
+/// Columns, parameter count and kind of a statement.
 #[derive(Clone, Debug)]
 pub struct Description {
     pub columns: Vec<Column>,
@@ -36,7 +36,7 @@
     pub changes: usize,
 }
 
-/// Error of the engine as SQLSTATE and message.
+/// Error of the engine: SQLSTATE and message.
 #[derive(Clone, Debug)]
 pub struct SqlError {
     pub code: &'static str,
@@ -62,14 +62,14 @@
     }
 }
 
-/// One instance's database.
+/// Database of one instance.
 pub struct Engine {
     connection: Connection,
 }
 
 impl Engine {
     pub fn new(schema: &[String]) -> Self {
-        let connection = Connection::open_in_memory().expect("memory is enough for SQLite");
+        let connection = Connection::open_in_memory().expect("SQLite opens an in-memory database");
         for statement in schema {
             connection
                 .execute_batch(statement)
@@ -109,7 +109,7 @@
     }
 
     pub fn rollback(&self) {
-        // Fails only when no transaction is open, which is what is wanted.
+        // Fails only without an open transaction, and then there is nothing to roll back.
         let _ = self.connection.execute_batch("ROLLBACK");
     }
 
@@ -130,7 +130,7 @@
         Ok(outcome)
     }
 
-    /// Applies a shipped transaction.
+    /// Applies a transaction that the primary shipped.
     pub fn apply(&mut self, statements: &[LoggedStatement]) {
         for statement in statements {
             self.run(&statement.text, &statement.parameters)
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Rows of a query as text, for judging.
+    /// Runs a query and returns its rows as text, for checks.
     pub fn rows_as_text(&self, query: &str) -> Result<Vec<Vec<Option<String>>>, String> {
         let outcome = self.run(query, &[]).map_err(|error| error.message)?;
         let text = |value: &Value| match value {
@@ -156,8 +156,8 @@
     }
 }
 
-/// Turns `$1` into SQLite's `?1` and drops locking clauses, which SQLite does
-/// not have and an exclusive engine does not need.
+/// Translates `$1` to SQLite's `?1` and drops locking clauses, which SQLite does not
+/// have and an exclusively locked engine does not need.
 fn to_sqlite(text: &str) -> String {
     const LOCKING_CLAUSE: &str = " FOR UPDATE";
     let mut output = String::with_capacity(text.len());
--- a/crates/linkhold-standin/src/group/mod.rs
+++ b/crates/linkhold-standin/src/group/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! Each instance is a PostgreSQL-protocol server over its own in-memory
 //! SQLite database. The primary runs transactions and appends their
-//! statements to its log; replicas apply the log after a set lag. When a
-//! majority has not heard from a primary for the election time-out it elects
-//! the instance with the most up-to-date log, as in Raft (section 5.4.1).
+//! statements to its log; replicas apply the log after a configured lag. When a
+//! majority has not heard from a primary for the election timeout, it elects the
+//! instance with the most up-to-date log, as in Raft (section 5.4.1).
 //!
-//! The primary answers a commit as soon as its own log has it, so a commit
-//! that no replica has may be lost in a failover: that is the weakness a
-//! proxy must not hide. A primary that is cut off from its peers goes on
-//! accepting connections and commits.
+//! The primary acknowledges a commit as soon as the commit is in its own log, so a
+//! failover can lose a commit that no replica has. A proxy must not hide this
+//! weakness. A primary that is isolated from its peers continues to accept
+//! connections and commits.
 
 mod engine;
 mod replication;
@@ -28,35 +28,35 @@
 use state::GroupShared;
 pub use state::{InstanceReport, LagProfile, StatementRecord};
 
-/// Size and speed of a group.
+/// Size, timing and schema of a group.
 #[derive(Clone, Debug)]
 pub struct GroupOptions {
     /// Database name.
     pub name: String,
     /// Number of instances.
     pub instances: usize,
-    /// Statements an instance runs at once.
+    /// Maximum number of concurrent statements on an instance.
     pub slots: usize,
-    /// Connections an instance accepts.
+    /// Maximum number of connections to an instance.
     pub connection_limit: usize,
     /// Time to accept a new connection.
     pub connect_time: Duration,
-    /// Time a statement occupies its slot.
+    /// Time that each statement occupies its slot before it runs.
     pub service_time: Duration,
     /// Lag of each replica.
     pub lag: LagProfile,
-    /// Silence after which replicas elect a new primary.
+    /// Time without a primary after which the instances elect a new one.
     pub election_timeout: Duration,
-    /// Seed for lag and election jitter.
+    /// Seed of lag and election jitter.
     pub seed: u64,
-    /// Statements run on every instance before it serves.
+    /// Statements that every instance runs before it serves.
     pub schema: Vec<String>,
-    /// Keep a record of every statement for a checker.
+    /// Whether to record every statement, for a checker.
     pub record: bool,
 }
 
 impl GroupOptions {
-    /// A small fast group with these schema statements.
+    /// Returns options of a small, fast group with these schema statements.
     pub fn small(name: &str, schema: Vec<String>) -> Self {
         Self {
             name: name.to_owned(),
@@ -74,7 +74,7 @@
     }
 }
 
-/// A running group. Dropping it stops its servers.
+/// A running group. Dropping it stops the servers.
 pub struct Group {
     shared: Arc<GroupShared>,
     addresses: Vec<SocketAddr>,
@@ -97,9 +97,9 @@
             let listener = TcpListener::bind(("127.0.0.1", *port)).await?;
             addresses.push(listener.local_addr()?);
             tasks.spawn(server::serve(shared.clone(), instance, listener));
-            tasks.spawn(replication::follow(shared.clone(), instance));
+            tasks.spawn(replication::replicate(shared.clone(), instance));
         }
-        tasks.spawn(replication::elect(shared.clone()));
+        tasks.spawn(replication::run_elections(shared.clone()));
         Ok(Self {
             shared,
             addresses,
@@ -107,37 +107,37 @@
         })
     }
 
-    /// Addresses of the instances, in order.
+    /// Returns the addresses of the instances, in order.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Database name.
+    /// Returns the database name.
     pub fn name(&self) -> &str {
         &self.shared.options.name
     }
 
-    /// Stops an instance at once: its connections break and none is accepted.
+    /// Crashes an instance: its connections break and new ones are closed.
     pub fn crash(&self, instance: usize) {
         self.shared.set_crashed(instance, true);
     }
 
-    /// Brings a crashed instance back with the log it had.
+    /// Restarts a crashed instance with its log intact.
     pub fn restart(&self, instance: usize) {
         self.shared.set_crashed(instance, false);
     }
 
-    /// Cuts an instance off from its peers; callers still reach it.
+    /// Isolates an instance from its peers; callers still reach it.
     pub fn isolate(&self, instance: usize) {
         self.shared.set_isolated(instance, true);
     }
 
-    /// Ends an isolation.
+    /// Ends the isolation of an instance.
     pub fn heal(&self, instance: usize) {
         self.shared.set_isolated(instance, false);
     }
 
-    /// Sets the lag of one replica.
+    /// Sets the replication lag of an instance.
     pub fn set_lag(&self, instance: usize, lag: LagProfile) {
         self.shared.set_lag(instance, lag);
     }
@@ -147,27 +147,28 @@
         self.shared.set_answer_delay(instance, delay);
     }
 
-    /// The instance that is primary in the highest term, if it is up.
+    /// Returns the running primary with the highest term; `None` if there is none.
     pub fn primary(&self) -> Option<usize> {
         self.shared.primary()
     }
 
-    /// What each instance would report, for judging.
+    /// Returns the status of each instance, for checks in tests.
     pub fn reports(&self) -> Vec<InstanceReport> {
         self.shared.reports()
     }
 
-    /// Moments at which a primary was elected, with term and instance.
+    /// Returns the elections so far: time, term and elected instance.
     pub fn elections(&self) -> Vec<(std::time::Instant, u64, usize)> {
         self.shared.elections()
     }
 
-    /// Every recorded statement, in order.
+    /// Returns every recorded statement, in order.
     pub fn records(&self) -> Vec<StatementRecord> {
         self.shared.records()
     }
 
-    /// Rows of a query on the present primary's own data, as text.
+    /// Runs a query directly on the current primary's data and returns its rows as
+    /// text. Fails without a primary.
     pub async fn query_primary(&self, query: &str) -> Result<Vec<Vec<Option<String>>>, String> {
         let primary = self.primary().ok_or("no primary")?;
         let engine = self.shared.engine(primary);
--- a/crates/linkhold-standin/src/group/replication.rs
+++ b/crates/linkhold-standin/src/group/replication.rs
@@ -11,8 +11,8 @@
 const IDLE_PERIOD: Duration = Duration::from_millis(50);
 const ELECTION_TICK: Duration = Duration::from_millis(10);
 
-/// Applies the primary's log to one replica, for ever.
-pub async fn follow(shared: Arc<GroupShared>, instance: usize) {
+/// Replicates the primary's log to one instance. Never returns.
+pub async fn replicate(shared: Arc<GroupShared>, instance: usize) {
     let mut random = shared.random(instance as u64 + 1);
     let mut lag = shared.lag_of(instance).sample(&mut random);
     let mut profile = shared.lag_of(instance);
@@ -26,9 +26,9 @@
         }
         let changed = shared.log_changed.notified();
         copy_log(&shared, instance).await;
-        let pause = match next_due(&shared, instance, lag) {
+        let pause = match next_apply_time(&shared, instance, lag) {
             Some(due) if due <= Instant::now() => {
-                apply_one(&shared, instance).await;
+                apply_next_entry(&shared, instance).await;
                 continue;
             }
             Some(due) => due
@@ -40,18 +40,18 @@
     }
 }
 
-/// Takes over the log of the newest primary within reach.
+/// Copies the log of the reachable primary with the highest term.
 async fn copy_log(shared: &GroupShared, instance: usize) {
     let dirty = {
         let mut instances = shared.instances();
-        let Some(leader) = leader_for(&instances, instance) else {
+        let Some(primary) = primary_for(&instances, instance) else {
             return;
         };
-        let leader_term = instances[leader].current_term;
-        let common = common_prefix(&instances[instance].log, &instances[leader].log);
-        let missing = instances[leader].log[common..].to_vec();
+        let primary_term = instances[primary].current_term;
+        let common = common_prefix(&instances[instance].log, &instances[primary].log);
+        let missing = instances[primary].log[common..].to_vec();
         let own = &mut instances[instance];
-        step_down(shared, instance, own, leader_term);
+        step_down(shared, instance, own, primary_term);
         own.log.truncate(common);
         own.log.extend(missing);
         if own.applied > common {
@@ -67,8 +67,8 @@
     }
 }
 
-/// Adopts a newer term. A primary that steps down breaks its connections, so
-/// that no transaction begun in its term can commit later.
+/// Adopts a newer term. A primary that steps down breaks its connections, so that no
+/// transaction begun in its term can commit later.
 fn step_down(shared: &GroupShared, instance: usize, own: &mut InstanceState, term: u64) {
     if own.is_primary {
         own.is_primary = false;
@@ -77,8 +77,8 @@
     own.current_term = own.current_term.max(term);
 }
 
-/// Replays the applied log into an empty database, after entries that had
-/// been applied turned out not to be part of the group's log.
+/// Replays the applied log into an empty database if the engine holds entries that
+/// are not part of the group's log.
 fn rebuild_if_dirty(shared: &GroupShared, instance: usize, engine: &mut Engine) {
     let entries = {
         let mut instances = shared.instances();
@@ -95,7 +95,9 @@
     }
 }
 
-fn leader_for(instances: &[InstanceState], instance: usize) -> Option<usize> {
+/// Returns the reachable primary with the highest term that the instance follows;
+/// `None` if it is cut off or there is no such primary.
+fn primary_for(instances: &[InstanceState], instance: usize) -> Option<usize> {
     let own = &instances[instance];
     if own.crashed || own.isolated {
         return None;
@@ -112,17 +114,17 @@
         .map(|(index, _)| index)
 }
 
-/// Length of the part two logs share. By the log matching property equal
-/// terms at an index mean equal logs up to it.
-fn common_prefix(own: &[LogEntry], leader: &[LogEntry]) -> usize {
-    let mut length = own.len().min(leader.len());
-    while length > 0 && own[length - 1].term != leader[length - 1].term {
+/// Returns the length of the common prefix of two logs. By Raft's log matching
+/// property, equal terms at an index mean equal logs up to that index.
+fn common_prefix(own: &[LogEntry], primary: &[LogEntry]) -> usize {
+    let mut length = own.len().min(primary.len());
+    while length > 0 && own[length - 1].term != primary[length - 1].term {
         length -= 1;
     }
     length
 }
 
-fn next_due(shared: &GroupShared, instance: usize, lag: Duration) -> Option<Instant> {
+fn next_apply_time(shared: &GroupShared, instance: usize, lag: Duration) -> Option<Instant> {
     let instances = shared.instances();
     let own = &instances[instance];
     if own.crashed || own.is_primary {
@@ -133,7 +135,7 @@
         .map(|entry| entry.committed_at + lag)
 }
 
-async fn apply_one(shared: &GroupShared, instance: usize) {
+async fn apply_next_entry(shared: &GroupShared, instance: usize) {
     let engine = shared.engine(instance);
     let mut engine = engine.lock().await;
     let entry = {
@@ -151,8 +153,8 @@
     shared.instances()[instance].applied += 1;
 }
 
-/// Watches for missing primaries and elects new ones, for ever.
-pub async fn elect(shared: Arc<GroupShared>) {
+/// Elects a new primary whenever a majority misses one. Never returns.
+pub async fn run_elections(shared: Arc<GroupShared>) {
     let mut random = shared.random(0);
     let mut last_heard = vec![Instant::now(); shared.options.instances];
     loop {
@@ -179,11 +181,11 @@
 fn hears_primary(instances: &[InstanceState], instance: usize) -> bool {
     let own = &instances[instance];
     let own_primary = own.is_primary && !own.crashed && !own.isolated;
-    own_primary || leader_for(instances, instance).is_some()
+    own_primary || primary_for(instances, instance).is_some()
 }
 
-/// The most up-to-date instance of a connected majority that has heard
-/// nothing for the time-out, with the term it stands in.
+/// Returns the instance with the most up-to-date log and the term to elect it in;
+/// `None` unless a connected majority has heard no primary for the timeout.
 fn find_candidate(
     instances: &[InstanceState],
     last_heard: &[Instant],
@@ -213,7 +215,8 @@
     Some((winner, newest + 1))
 }
 
-/// The winner first applies all it has, then all voters promise the term.
+/// Makes all connected instances promise the term, applies the rest of the winner's
+/// log and makes the winner primary.
 async fn finish_election(shared: &GroupShared, winner: usize, term: u64) {
     let engine = shared.engine(winner);
     let mut engine = engine.lock().await;
--- a/crates/linkhold-standin/src/group/server.rs
+++ b/crates/linkhold-standin/src/group/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of one instance and handles their start.
+//! Accepts the connections of one instance and handles their startup.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicI32, Ordering};
@@ -21,7 +21,7 @@
 
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// Cancel keys of an instance's open connections.
+/// Cancel keys of an instance's open connections, with the signals to cancel.
 pub type CancelKeys = Arc<Mutex<HashMap<(i32, i32), Arc<Notify>>>>;
 
 static NEXT_PROCESS: AtomicI32 = AtomicI32::new(1);
@@ -57,19 +57,20 @@
     let mut generation = shared.limits[instance].generation.subscribe();
     generation.mark_unchanged();
     tokio::select! {
-        // A connection that fails has nobody left to tell.
-        _ = converse(shared.clone(), instance, stream, cancel_keys) => {}
+        // A failed connection has no client that could receive the error.
+        _ = serve_connection(shared.clone(), instance, stream, cancel_keys) => {}
         _ = generation.changed() => {}
     }
 }
 
-/// Counts an open connection for as long as it lives.
+/// Counts an open connection until dropped.
 struct ConnectionCount {
     shared: Arc<GroupShared>,
     instance: usize,
 }
 
 impl ConnectionCount {
+    /// Counts the connection; also returns whether it is within the limit.
     fn take(shared: &Arc<GroupShared>, instance: usize) -> (Self, bool) {
         let limits = &shared.limits[instance];
         let open = limits.connections.fetch_add(1, Ordering::Relaxed) + 1;
@@ -90,7 +91,7 @@
     }
 }
 
-async fn converse(
+async fn serve_connection(
     shared: Arc<GroupShared>,
     instance: usize,
     mut stream: TcpStream,
@@ -128,7 +129,7 @@
     result
 }
 
-/// Reads the untyped first messages; `None` after a cancel request.
+/// Reads the first messages, which have no type byte; `None` after a cancel request.
 async fn read_startup(
     stream: &mut TcpStream,
     reader: &mut FrameReader,
--- a/crates/linkhold-standin/src/group/session/extended.rs
+++ b/crates/linkhold-standin/src/group/session/extended.rs
@@ -7,17 +7,17 @@
 use rusqlite::types::Value;
 use tokio::net::TcpStream;
 
-use super::special::{is_special, special_columns};
+use super::special::{is_session_command, session_command_columns};
 use super::{INVALID_PARAMETER, Portal, Prepared, Session, UNDEFINED_CURSOR, UNDEFINED_STATEMENT};
-use super::{result_columns, tag_of};
+use super::{command_tag, result_columns};
 use crate::group::engine::{Description, SqlError};
 use crate::group::values::decode;
 
 impl Session {
     pub(super) async fn parse(&mut self, parse: Parse) -> Result<(), SqlError> {
-        let description = if is_special(&parse.query) {
+        let description = if is_session_command(&parse.query) {
             Description {
-                columns: special_columns(&parse.query),
+                columns: session_command_columns(&parse.query),
                 parameters: 0,
                 read_only: true,
             }
@@ -89,15 +89,15 @@
         })
     }
 
-    pub(super) fn describe(&mut self, named: &DescribeOrClose) -> Result<(), SqlError> {
-        let (columns, formats) = match named.target {
+    pub(super) fn describe(&mut self, message: &DescribeOrClose) -> Result<(), SqlError> {
+        let (columns, formats) = match message.target {
             Target::Statement => {
-                let statement = self.statement(&named.name)?;
+                let statement = self.statement(&message.name)?;
                 reply::put_parameter_description(&mut self.output, statement.types);
                 (statement.description.columns, Vec::new())
             }
             Target::Portal => {
-                let portal = self.portal(&named.name)?;
+                let portal = self.portal(&message.name)?;
                 let columns = portal.statement.description.columns.clone();
                 (columns, portal.result_formats.clone())
             }
@@ -127,7 +127,7 @@
             }
         };
         let text = portal.statement.text.clone();
-        if let Some(result) = self.run_special(&text, false).await {
+        if let Some(result) = self.run_session_command(&text, false).await {
             self.portals.insert(name, portal);
             return Ok(result.map(|tag| reply::put_complete(&mut self.output, &tag)));
         }
@@ -147,7 +147,7 @@
             let outcome = self
                 .run_statement(&statement.text, &portal.parameters, &statement.description)
                 .await?;
-            let tag = tag_of(&statement.text, &outcome);
+            let tag = command_tag(&statement.text, &outcome);
             portal.started = Some((outcome.rows.into(), tag));
         }
         Ok(portal)
@@ -178,13 +178,13 @@
         Ok(portal)
     }
 
-    pub(super) fn close(&mut self, named: &DescribeOrClose) {
-        match named.target {
+    pub(super) fn close(&mut self, message: &DescribeOrClose) {
+        match message.target {
             Target::Statement => {
-                self.statements.remove(&named.name);
+                self.statements.remove(&message.name);
             }
             Target::Portal => {
-                self.portals.remove(&named.name);
+                self.portals.remove(&message.name);
             }
         }
         reply::put_close_complete(&mut self.output);
--- a/crates/linkhold-standin/src/group/session/mod.rs
+++ b/crates/linkhold-standin/src/group/session/mod.rs
@@ -1,5 +1,5 @@
-//! One connection to an instance: simple and extended queries, transactions
-//! and settings.
+//! Session of a connection to an instance: simple and extended queries,
+//! transactions and settings.
 
 mod extended;
 mod special;
@@ -27,8 +27,8 @@
 const UNDEFINED_STATEMENT: &str = "26000";
 const UNDEFINED_CURSOR: &str = "34000";
 const INVALID_PARAMETER: &str = "22P02";
-const CANNOT_CONNECT: &str = "57P01";
-/// Text of the status query this stand-in answers.
+const ADMIN_SHUTDOWN: &str = "57P01";
+/// Text of the status query that this stand-in answers.
 const STATUS_QUERY: &str = "SHOW linkhold.status";
 
 #[derive(Clone)]
@@ -45,7 +45,7 @@
     started: Option<(VecDeque<Vec<Value>>, String)>,
 }
 
-/// An explicit transaction: the engine is held until it ends.
+/// An open transaction; holds the engine's lock until it ends.
 struct OpenTransaction {
     engine: OwnedMutexGuard<Engine>,
     number: u64,
@@ -171,8 +171,8 @@
         reply::put_ready(&mut self.output, status);
     }
 
-    /// Runs the statements of a simple query. Outside an explicit transaction
-    /// they share one implicit transaction, as the protocol requires.
+    /// Runs the statements of a simple query. Outside an explicit transaction, they
+    /// share one implicit transaction, as the protocol requires.
     async fn simple_query(&mut self, text: &str, stream: &mut TcpStream) -> Result<(), WireError> {
         let statements = split_statements(text);
         if statements.is_empty() {
@@ -180,7 +180,7 @@
         }
         let implicit = statements.len() > 1
             && self.transaction.is_none()
-            && !statements.iter().any(|text| is_control(text));
+            && !statements.iter().any(|text| is_transaction_control(text));
         if implicit {
             self.begin().await;
         }
@@ -208,7 +208,7 @@
         text: &str,
         stream: &mut TcpStream,
     ) -> Result<Result<(), SqlError>, WireError> {
-        if let Some(result) = self.run_special(text, true).await {
+        if let Some(result) = self.run_session_command(text, true).await {
             return Ok(result.map(|tag| reply::put_complete(&mut self.output, &tag)));
         }
         let description = match self.describe_text(text).await {
@@ -219,7 +219,7 @@
             Ok(outcome) => outcome,
             Err(error) => return Ok(Err(error)),
         };
-        let tag = tag_of(text, &outcome);
+        let tag = command_tag(text, &outcome);
         if !description.columns.is_empty() {
             let columns = result_columns(&description.columns, &[]);
             reply::put_row_description(&mut self.output, &columns);
@@ -250,15 +250,15 @@
         Ok(())
     }
 
-    /// Takes the slot before the engine, so that whoever holds the engine
-    /// never waits for a slot.
+    /// Begins a transaction. Acquires the slot before the engine, so that no task
+    /// waits for a slot while it holds the engine.
     async fn begin(&mut self) {
-        let slot = take_slot(&self.shared.clone(), self.instance).await;
+        let slot = acquire_slot(&self.shared.clone(), self.instance).await;
         let engine = self.shared.engine(self.instance).lock_owned().await;
         engine.begin().expect("no transaction is open");
         self.transaction = Some(OpenTransaction {
             engine,
-            number: self.shared.new_transaction(),
+            number: self.shared.next_transaction_id(),
             statements: Vec::new(),
             failed: false,
             _slot: slot,
@@ -275,7 +275,7 @@
         let statements = std::mem::take(&mut transaction.statements);
         if !statements.is_empty() && !self.shared.append(self.instance, statements) {
             return Err(SqlError {
-                code: CANNOT_CONNECT,
+                code: ADMIN_SHUTDOWN,
                 message: "this instance is no longer primary".to_owned(),
             });
         }
@@ -305,10 +305,10 @@
             });
         }
         let shared = self.shared.clone();
-        // A transaction holds its slot since it began.
+        // An open transaction already holds a slot.
         let _slot = match self.transaction {
             Some(_) => None,
-            None => Some(take_slot(&shared, self.instance).await),
+            None => Some(acquire_slot(&shared, self.instance).await),
         };
         if !shared.options.service_time.is_zero() {
             tokio::time::sleep(shared.options.service_time).await;
@@ -325,7 +325,7 @@
             }
             return Ok(outcome);
         }
-        let number = shared.new_transaction();
+        let number = shared.next_transaction_id();
         shared.record(self.instance, self.connection, number, text);
         let engine = shared.engine(self.instance);
         let engine = engine.lock().await;
@@ -347,7 +347,7 @@
     }
 }
 
-async fn take_slot(shared: &GroupShared, instance: usize) -> OwnedSemaphorePermit {
+async fn acquire_slot(shared: &GroupShared, instance: usize) -> OwnedSemaphorePermit {
     let slots = shared.limits[instance].slots.clone();
     slots
         .acquire_owned()
@@ -371,7 +371,7 @@
         .collect()
 }
 
-fn tag_of(text: &str, outcome: &Outcome) -> String {
+fn command_tag(text: &str, outcome: &Outcome) -> String {
     let verb = text
         .split_whitespace()
         .next()
@@ -385,7 +385,7 @@
     }
 }
 
-fn is_control(text: &str) -> bool {
+fn is_transaction_control(text: &str) -> bool {
     let first = text
         .split_whitespace()
         .next()
@@ -397,7 +397,7 @@
     )
 }
 
-/// Splits at semicolons outside string literals.
+/// Splits a query at semicolons outside string literals.
 fn split_statements(text: &str) -> Vec<String> {
     let mut statements = Vec::new();
     let mut current = String::new();
--- a/crates/linkhold-standin/src/group/session/special.rs
+++ b/crates/linkhold-standin/src/group/session/special.rs
@@ -1,16 +1,17 @@
-//! Statements the engine does not know: transaction control, settings, the
-//! status query and `pg_sleep`.
+//! Session commands, which the session handles itself: transaction control, settings,
+//! the status query and `pg_sleep`.
 
 use std::time::Duration;
 
 use linkhold_wire::reply::{self, ResultColumn, TEXT_OID};
 
-use super::{FAILED_TRANSACTION, QUERY_CANCELED, STATUS_QUERY, Session, is_control};
+use super::{FAILED_TRANSACTION, QUERY_CANCELED, STATUS_QUERY, Session, is_transaction_control};
 use crate::group::engine::{Column, SqlError};
 
 impl Session {
-    /// Statements the engine does not know. `None` if `text` is not one.
-    pub(super) async fn run_special(
+    /// Runs a session command and returns its command tag; `None` if `text` is not a
+    /// session command.
+    pub(super) async fn run_session_command(
         &mut self,
         text: &str,
         simple: bool,
@@ -29,7 +30,7 @@
                 self.transaction = None;
                 Some(Ok("ROLLBACK".to_owned()))
             }
-            _ if self.has_failed() => Some(Err(SqlError {
+            _ if self.transaction_has_failed() => Some(Err(SqlError {
                 code: FAILED_TRANSACTION,
                 message: "current transaction is aborted".to_owned(),
             })),
@@ -58,13 +59,13 @@
         }
     }
 
-    pub(super) fn has_failed(&self) -> bool {
+    pub(super) fn transaction_has_failed(&self) -> bool {
         self.transaction
             .as_ref()
             .is_some_and(|transaction| transaction.failed)
     }
 
-    /// Term, position and role as `current_term log_term log_index role`.
+    /// Returns the answer to the status query: `current_term log_term log_index role`.
     pub(super) fn status(&self) -> String {
         let report = self.shared.reports()[self.instance];
         let role = if report.is_primary {
@@ -128,15 +129,15 @@
     }
 }
 
-pub(super) fn is_special(text: &str) -> bool {
+pub(super) fn is_session_command(text: &str) -> bool {
     let upper = text.to_ascii_uppercase();
     let first = upper.split_whitespace().next().unwrap_or_default();
-    is_control(text)
+    is_transaction_control(text)
         || matches!(first, "SET" | "RESET" | "DISCARD" | "SHOW")
         || upper.starts_with("SELECT PG_SLEEP(")
 }
 
-pub(super) fn special_columns(text: &str) -> Vec<Column> {
+pub(super) fn session_command_columns(text: &str) -> Vec<Column> {
     let upper = text.to_ascii_uppercase();
     let name = if upper.starts_with("SHOW") {
         "setting"
--- a/crates/linkhold-standin/src/group/state.rs
+++ b/crates/linkhold-standin/src/group/state.rs
@@ -1,4 +1,4 @@
-//! Shared state of a group: terms, logs, links and the record for checkers.
+//! Shared state of a group: terms, logs, isolation and the records for checkers.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,12 +12,12 @@
 use super::GroupOptions;
 use super::engine::{Engine, LoggedStatement};
 
-/// How far a replica stays behind.
+/// Replication lag of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LagProfile {
-    /// Always the same.
+    /// Constant lag.
     Fixed(Duration),
-    /// Log-normal with this median and 99th percentile, drawn anew every
+    /// Log-normal lag with this median and 99th percentile, redrawn every
     /// [`LAG_PERIOD`].
     Varying {
         /// Median lag.
@@ -27,7 +27,7 @@
     },
 }
 
-/// How long a drawn lag holds.
+/// Time for which a drawn lag applies.
 pub const LAG_PERIOD: Duration = Duration::from_millis(500);
 /// Standard score of the 99th percentile of a normal distribution.
 const P99_SCORE: f64 = 2.326;
@@ -46,14 +46,15 @@
     }
 }
 
-/// Box-Muller transform of two uniform numbers.
+/// Draws from the standard normal distribution by the Box-Muller transform of two
+/// uniform numbers.
 fn standard_normal(random: &mut impl Rng) -> f64 {
     let first: f64 = 1.0 - random.random::<f64>();
     let second: f64 = random.random();
     (-2.0 * first.ln()).sqrt() * (std::f64::consts::TAU * second).cos()
 }
 
-/// One committed transaction.
+/// Log entry of a committed transaction.
 #[derive(Clone, Debug)]
 pub struct LogEntry {
     pub term: u64,
@@ -69,16 +70,16 @@
     pub crashed: bool,
     pub isolated: bool,
     pub log: Vec<LogEntry>,
-    /// Entries applied to the engine; on a primary always the whole log.
+    /// Number of entries applied to the engine; on a primary always the whole log.
     pub applied: usize,
-    /// The engine holds entries that are no longer in the log and must be
-    /// built anew.
+    /// Whether the engine holds entries that are no longer in the log and must be
+    /// rebuilt.
     pub dirty: bool,
     pub answer_delay: Duration,
 }
 
 impl InstanceState {
-    /// Term and index of the last applied entry.
+    /// Returns the term and index of the last applied entry.
     pub fn position(&self) -> (u64, u64) {
         let term = match self.applied {
             0 => 0,
@@ -87,7 +88,7 @@
         (term, self.applied as u64)
     }
 
-    /// Term and index of the last log entry, for elections.
+    /// Returns the term and index of the last log entry, for elections.
     pub fn last_entry(&self) -> (u64, usize) {
         (
             self.log.last().map_or(0, |entry| entry.term),
@@ -96,37 +97,37 @@
     }
 }
 
-/// What an instance reports for itself.
+/// Status that an instance reports.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct InstanceReport {
-    /// Newest term promised.
+    /// Highest term that the instance has promised.
     pub current_term: u64,
     /// Term of the last applied entry.
     pub log_term: u64,
     /// Index of the last applied entry.
     pub log_index: u64,
-    /// Whether it takes itself for the primary.
+    /// Whether the instance considers itself the primary.
     pub is_primary: bool,
-    /// Whether it is crashed.
+    /// Whether the instance is crashed.
     pub crashed: bool,
-    /// Connections open now.
+    /// Open connections.
     pub connections: usize,
-    /// Most connections ever open at once.
+    /// Maximum number of connections open at once so far.
     pub most_connections: usize,
 }
 
-/// One statement as an instance saw it.
+/// A statement that an instance ran.
 #[derive(Clone, Debug, Serialize)]
 pub struct StatementRecord {
-    /// Instance that ran it.
+    /// Instance that ran the statement.
     pub instance: usize,
-    /// Connection it came on.
+    /// Connection on which the statement arrived.
     pub connection: u64,
-    /// Transaction it ran in, unique in the group.
+    /// Transaction of the statement; the number is unique in the group.
     pub transaction: u64,
     /// SQL text.
     pub text: String,
-    /// When it started.
+    /// Start time.
     #[serde(skip)]
     pub at: Instant,
 }
@@ -136,11 +137,11 @@
     pub slots: Arc<Semaphore>,
     pub connections: AtomicUsize,
     pub most_connections: AtomicUsize,
-    /// Rises whenever all connections must break.
+    /// Incremented to break all connections.
     pub generation: watch::Sender<u64>,
 }
 
-/// Everything the servers of a group share.
+/// State that the servers of a group share.
 pub struct GroupShared {
     pub options: GroupOptions,
     pub limits: Vec<InstanceLimits>,
@@ -262,7 +263,7 @@
         self.records.lock().expect("no panic while held").clone()
     }
 
-    pub fn new_transaction(&self) -> u64 {
+    pub fn next_transaction_id(&self) -> u64 {
         self.next_transaction.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -283,8 +284,8 @@
             .push(record);
     }
 
-    /// Makes an instance primary in `term`, with the entry every new primary
-    /// writes at the start of its term.
+    /// Makes an instance primary in `term` and appends the empty entry with which
+    /// every primary starts its term.
     pub fn become_primary(&self, instance: usize, term: u64) {
         let now = Instant::now();
         let mut instances = self.instances();
@@ -305,7 +306,8 @@
         self.log_changed.notify_waiters();
     }
 
-    /// Appends a transaction if the instance is a live primary.
+    /// Appends a transaction to the log; returns `false` if the instance is crashed or
+    /// no primary.
     pub fn append(&self, instance: usize, statements: Vec<LoggedStatement>) -> bool {
         let mut instances = self.instances();
         let state = &mut instances[instance];
--- a/crates/linkhold-standin/src/group/values.rs
+++ b/crates/linkhold-standin/src/group/values.rs
@@ -7,7 +7,8 @@
 const INT2_OID: u32 = 21;
 const BINARY_FORMAT: i16 = 1;
 
-/// Type identifier for a declared column type; expressions are text.
+/// Returns the type OID of a declared column type; expressions, which have none, are
+/// text.
 pub fn column_type(declared: Option<&str>) -> u32 {
     match declared.map(str::to_ascii_uppercase).as_deref() {
         Some("INTEGER" | "BIGINT") => INT8_OID,
@@ -17,7 +18,7 @@
     }
 }
 
-/// Encodes a value for a result column.
+/// Encodes a value for a result column; null is `None`.
 pub fn encode(value: &Value, type_oid: u32, format: i16) -> Option<Vec<u8>> {
     let binary = format == BINARY_FORMAT;
     match value {
@@ -35,7 +36,7 @@
     }
 }
 
-/// Decodes a bound parameter; `None` if the bytes do not fit the type.
+/// Decodes a bound parameter; `None` if the bytes are invalid for the type.
 pub fn decode(bytes: Option<&[u8]>, type_oid: u32, format: i16) -> Option<Value> {
     let Some(bytes) = bytes else {
         return Some(Value::Null);
--- a/crates/linkhold-standin/src/main.rs
+++ b/crates/linkhold-standin/src/main.rs
@@ -1,14 +1,14 @@
 //! Runs a database group and a platform as one process, for tests.
 //!
-//! Prints one `key=value` line with all addresses once everything listens,
-//! then runs until it is ended.
+//! Prints one line of `key=value` pairs with all addresses once every server
+//! listens, then runs until it is terminated.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use clap::{Arg, Command, value_parser};
 use eyre::Result;
-use linkhold_standin::control::{self, Controlled};
+use linkhold_standin::control::{self, StandIns};
 use linkhold_standin::group::{Group, GroupOptions, LagProfile};
 use linkhold_standin::platform::Platform;
 
@@ -32,19 +32,31 @@
             Arg::new("schema")
                 .long("schema")
                 .action(clap::ArgAction::Append)
-                .help("SQL statement to run on every instance at the start; may be repeated"),
+                .help("SQL statement that every instance runs at start; may be repeated"),
         )
         .arg(number("instances", "3", "Number of instances"))
-        .arg(number("slots", "10", "Statements an instance runs at once"))
+        .arg(number(
+            "slots",
+            "10",
+            "Statements that an instance runs concurrently",
+        ))
         .arg(number(
             "connection-limit",
             "100",
-            "Connections an instance accepts",
+            "Maximum number of connections to an instance",
+        ))
+        .arg(number(
+            "connect-ms",
+            "12",
+            "Time to accept a connection, in milliseconds",
+        ))
+        .arg(number("lag-ms", "5", "Replication lag in milliseconds"))
+        .arg(number(
+            "election-ms",
+            "300",
+            "Time without a primary before an election, in milliseconds",
         ))
-        .arg(number("connect-ms", "12", "Time to accept a connection"))
-        .arg(number("lag-ms", "5", "Replication lag"))
-        .arg(number("election-ms", "300", "Silence before an election"))
-        .arg(number("seed", "1", "Seed"))
+        .arg(number("seed", "1", "Seed of all random draws"))
 }
 
 #[tokio::main]
@@ -72,12 +84,12 @@
             .collect(),
         record: true,
     };
-    let controlled = Arc::new(Controlled {
+    let standins = Arc::new(StandIns {
         group: Group::start(options).await?,
         platform: Platform::start(0).await?,
     });
-    let (address, control) = control::bind(controlled.clone(), 0).await?;
-    let instances: Vec<String> = controlled
+    let (address, control) = control::bind(standins.clone(), 0).await?;
+    let instances: Vec<String> = standins
         .group
         .addresses()
         .iter()
@@ -85,7 +97,7 @@
         .collect();
     println!(
         "event=ready control={address} platform={} instances={}",
-        controlled.platform.url(),
+        standins.platform.url(),
         instances.join(",")
     );
     control.await?;
--- a/crates/linkhold-standin/src/platform.rs
+++ b/crates/linkhold-standin/src/platform.rs
@@ -1,17 +1,17 @@
-//! The platform: a transactional table service, an object store and a list
-//! of machines, over HTTP.
+//! The platform: a transactional table service, an object store and a machine
+//! list, over HTTP.
 //!
 //! | request | meaning |
 //! |---|---|
-//! | `GET /tables/{name}` | the newest [`TableVersion`]; with `?version=N` that one |
-//! | `GET /tables/{name}?newer_than=N` | the newest, or 204 if it is not newer |
-//! | `PUT /tables/{name}` | compare-and-set with a [`TableEdit`]; 409 if the version moved on |
+//! | `GET /tables/{name}` | the newest [`TableVersion`], or version N with `?version=N` |
+//! | `GET /tables/{name}?newer_than=N` | the newest version, or 204 if it is not newer than N |
+//! | `PUT /tables/{name}` | compare-and-set with a [`TableEdit`]; 409 if the expected version is not the newest |
 //! | `GET /tables/{name}/history` | all versions without bodies |
 //! | `GET`, `PUT /objects/{key}` | an object's bytes |
-//! | `GET /machines` | machines as the list shows them |
+//! | `GET /machines` | the machine list |
 //!
-//! An edit that repeats the identity of a stored edit answers with that
-//! edit's version and changes nothing.
+//! An edit with the ID of a stored edit changes nothing; its answer is the
+//! version that the stored edit made.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,55 +32,55 @@
 pub struct TableVersion {
     /// Version, from 1; 0 is the empty table before the first edit.
     pub version: u64,
-    /// Identity of the edit that made it.
+    /// ID of the edit that made this version.
     pub edit_id: String,
-    /// Who made it.
+    /// Author of the edit.
     pub author: String,
     /// CSV text.
     pub body: String,
 }
 
-/// An edit: the new body and the version it was made from.
+/// An edit: the new body and the version that it is based on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TableEdit {
     /// The version that must still be the newest.
     pub expected_version: u64,
-    /// Identity, chosen by the editor, for resolving a lost answer.
+    /// ID chosen by the editor, to find out the outcome if the answer is lost.
     pub edit_id: String,
-    /// Who makes it.
+    /// Author of the edit.
     pub author: String,
     /// CSV text.
     pub body: String,
 }
 
-/// A version in a history.
+/// A version in the history of a table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HistoryEntry {
     /// Version.
     pub version: u64,
-    /// Identity of the edit.
+    /// ID of the edit that made this version.
     pub edit_id: String,
-    /// Who made it.
+    /// Author of the edit.
     pub author: String,
 }
 
 /// A machine in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// IP address and port of what runs there.
+    /// IP address and port of the service on the machine.
     pub address: String,
     /// `live` or `leaving`.
     pub state: String,
 }
 
-/// How the platform misbehaves.
+/// Faults of the platform.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformFaults {
-    /// Answers 503 to everything.
+    /// Answers every request with 503.
     pub down: bool,
-    /// Waits before each answer.
+    /// Delay before each answer.
     pub delay: Duration,
-    /// Number of edits whose answers are lost after they took effect.
+    /// Number of edits that take effect and whose answers are then lost.
     pub lose_edit_answers: u32,
 }
 
@@ -95,7 +95,7 @@
 
 type Shared = Arc<Mutex<Store>>;
 
-/// A running platform. Dropping it stops its server.
+/// A running platform. Dropping it stops the server.
 pub struct Platform {
     address: SocketAddr,
     store: Shared,
@@ -121,7 +121,7 @@
             .route("/machines", get(read_machines))
             .with_state(store.clone());
         let server = tokio::spawn(async move {
-            // Fails only with its listener, and then every caller notices.
+            // Fails only if the listener fails, which every caller notices.
             let _ = axum::serve(listener, router).await;
         });
         Ok(Self {
@@ -131,27 +131,27 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address at which the platform listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Base of its URLs.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Sets how it misbehaves.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         lock(&self.store).faults = faults;
     }
 
-    /// Sets the machines it lists.
+    /// Sets the machine list.
     pub fn set_machines(&self, machines: Vec<Machine>) {
         lock(&self.store).machines = machines;
     }
 
-    /// Number of requests served, failed ones included.
+    /// Returns the number of requests received, failed ones included.
     pub fn requests(&self) -> u64 {
         lock(&self.store).requests
     }
@@ -161,8 +161,9 @@
     store.lock().expect("no panic while held")
 }
 
-/// Counts a request and applies the faults that concern every request.
-async fn admit(store: &Shared) -> Result<(), Response> {
+/// Counts a request and applies the delay and outage faults; `Err` is the answer
+/// during an outage.
+async fn begin_request(store: &Shared) -> Result<(), Response> {
     let faults = {
         let mut store = lock(store);
         store.requests += 1;
@@ -195,7 +196,7 @@
     Path(name): Path<String>,
     Query(query): Query<VersionQuery>,
 ) -> Result<Response, Response> {
-    admit(&store).await?;
+    begin_request(&store).await?;
     let store = lock(&store);
     let versions = store.tables.get(&name);
     let found = match query.version {
@@ -227,7 +228,7 @@
     Path(name): Path<String>,
     Json(edit): Json<TableEdit>,
 ) -> Result<Response, Response> {
-    admit(&store).await?;
+    begin_request(&store).await?;
     let mut store = lock(&store);
     let versions = store.tables.entry(name).or_default();
     if let Some(stored) = versions
@@ -258,7 +259,7 @@
     State(store): State<Shared>,
     Path(name): Path<String>,
 ) -> Result<Response, Response> {
-    admit(&store).await?;
+    begin_request(&store).await?;
     let store = lock(&store);
     let history: Vec<HistoryEntry> = store
         .tables
@@ -278,7 +279,7 @@
     State(store): State<Shared>,
     Path(key): Path<String>,
 ) -> Result<Response, Response> {
-    admit(&store).await?;
+    begin_request(&store).await?;
     match lock(&store).objects.get(&key) {
         Some(bytes) => Ok(bytes.clone().into_response()),
         None => Err(StatusCode::NOT_FOUND.into_response()),
@@ -290,12 +291,12 @@
     Path(key): Path<String>,
     body: axum::body::Bytes,
 ) -> Result<Response, Response> {
-    admit(&store).await?;
+    begin_request(&store).await?;
     lock(&store).objects.insert(key, body.to_vec());
     Ok(StatusCode::NO_CONTENT.into_response())
 }
 
 async fn read_machines(State(store): State<Shared>) -> Result<Response, Response> {
-    admit(&store).await?;
+    begin_request(&store).await?;
     Ok(Json(lock(&store).machines.clone()).into_response())
 }
--- a/crates/linkhold-standin/src/relay.rs
+++ b/crates/linkhold-standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that delays, cuts, stalls or breaks what passes through it.
+//! A TCP relay that delays, stalls, drops or cuts its traffic.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::Instant;
 
-const CHUNK: usize = 16 * 1024;
-/// Bytes that may be under way in one direction of one connection.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of chunks in flight per direction of a connection.
 const IN_FLIGHT_CHUNKS: usize = 64;
 
-/// What the relay does to traffic.
+/// State of the link that the relay simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Link {
-    /// Passes everything on.
+    /// Forwards all traffic.
     #[default]
     Open,
-    /// Breaks every connection and accepts none.
+    /// Closes every connection, new ones too.
     Cut,
-    /// Keeps connections open and passes nothing on.
+    /// Keeps connections open and forwards nothing.
     BlackHole,
-    /// Passes requests on and drops answers.
+    /// Forwards requests and drops answers.
     LoseAnswers,
 }
 
-/// Behaviour of a relay; may change while it runs.
+/// Behaviour of a relay; can change while it runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayState {
-    /// What happens to traffic.
+    /// State of the link.
     pub link: Link,
-    /// Time each byte takes in each direction.
+    /// Delay of each byte in each direction.
     pub one_way_delay: Duration,
     /// Number of permanent silences so far; connections opened before the last one forward
     /// nothing any more.
@@ -68,12 +68,12 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address at which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what happens to traffic.
+    /// Changes the state of the link.
     pub fn set_link(&self, link: Link) {
         self.state.send_modify(|state| state.link = link);
     }
@@ -85,7 +85,7 @@
             .send_modify(|state| state.permanent_silences += 1);
     }
 
-    /// Changes how long each byte takes in each direction.
+    /// Changes the delay of each byte in each direction.
     pub fn set_delay(&self, one_way_delay: Duration) {
         self.state
             .send_modify(|state| state.one_way_delay = one_way_delay);
@@ -118,13 +118,13 @@
     let _ = server.set_nodelay(true);
     let (client_reader, client_writer) = client.into_split();
     let (server_reader, server_writer) = server.into_split();
-    let requests = pump(
+    let requests = forward(
         client_reader,
         server_writer,
         state.clone(),
         Direction::Request,
     );
-    let answers = pump(
+    let answers = forward(
         server_reader,
         client_writer,
         state.clone(),
@@ -144,31 +144,31 @@
     Answer,
 }
 
-/// Passes bytes on, each after the delay in force when it arrived.
-async fn pump(
+/// Forwards bytes, each after the delay that was set when it arrived.
+async fn forward(
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
     mut state: watch::Receiver<RelayState>,
     direction: Direction,
 ) {
-    let mut under_way: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
+    let mut in_flight: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let mut ended = false;
     let silences_before = state.borrow().permanent_silences;
     loop {
         let current = *state.borrow_and_update();
         let is_silent = current.permanent_silences > silences_before;
         let stalled = is_silent || current.link == Link::BlackHole;
-        let due = under_way.front().map(|(due, _)| *due);
+        let due = in_flight.front().map(|(due, _)| *due);
         if due.is_none() && ended {
             return;
         }
-        let may_read = !ended && under_way.len() < IN_FLIGHT_CHUNKS;
-        let mut chunk = vec![0; if may_read { CHUNK } else { 0 }];
+        let may_read = !ended && in_flight.len() < IN_FLIGHT_CHUNKS;
+        let mut chunk = vec![0; if may_read { CHUNK_BYTES } else { 0 }];
         tokio::select! {
             biased;
             changed = state.changed() => if changed.is_err() { return },
             () = sleep_until(due), if due.is_some() && !stalled => {
-                let Some((_, bytes)) = under_way.pop_front() else { continue };
+                let Some((_, bytes)) = in_flight.pop_front() else { continue };
                 let dropped = direction == Direction::Answer && current.link == Link::LoseAnswers;
                 if !dropped && writer.write_all(&bytes).await.is_err() {
                     return;
@@ -178,7 +178,7 @@
                 Ok(0) | Err(_) => ended = true,
                 Ok(count) => {
                     chunk.truncate(count);
-                    under_way.push_back((Instant::now() + current.one_way_delay, chunk));
+                    in_flight.push_back((Instant::now() + current.one_way_delay, chunk));
                 }
             },
         }
--- a/crates/linkhold-standin/tests/process.rs
+++ b/crates/linkhold-standin/tests/process.rs
@@ -1,4 +1,5 @@
-//! The stand-in runs as a process of its own and tells its addresses.
+//! The stand-in process prints the addresses of its servers. Other tests read them
+//! from this line, so a change of its format would break those.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
