--- a/crates/linkhold/src/demo/caller.rs
+++ b/crates/linkhold/src/demo/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that roams between nodes and writes down what it sees.
+//! A caller that sends requests through varying nodes and records the answers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,56 +11,56 @@
 use super::history::{CallerId, History};
 use super::world::NodeAddresses;
 
-/// Longest wait of a caller for an answer; far beyond every bound of a node.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum wait of a caller for an answer; far above every time limit of a node.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 const RECONNECT_PAUSE: Duration = Duration::from_millis(10);
 /// SQLSTATE with which a leaving node ends an idle session.
 const STOPPING: &str = "LH005";
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Rows as text.
     Rows(Vec<Vec<String>>),
-    /// Not run; come back after this time.
+    /// Not run; the caller may retry after this time.
     NotRun(Duration),
-    /// Completed before, under its key.
+    /// Already completed under its key.
     AlreadyCompleted,
-    /// Not known.
+    /// Outcome unknown.
     Unknown,
-    /// The connection broke without an answer.
+    /// The connection broke, or the wait timed out, without an answer.
     Cut,
-    /// Another error of the database.
+    /// Another error, as SQLSTATE and message.
     Refused(String),
 }
 
 /// A connection to a node.
-struct Link {
+struct NodeConnection {
     client: Client,
-    /// SQLSTATE with which the node ended the connection.
+    /// SQLSTATE with which the node closed the connection.
     ended_with: Arc<Mutex<Option<String>>>,
 }
 
-/// A caller with a connection to each node it has used.
+/// A caller with a connection to each node that it has used.
 pub struct Caller {
-    /// Who.
+    /// ID of the caller.
     pub id: CallerId,
-    /// Index of its database.
+    /// Index of the caller's database.
     pub database: usize,
-    /// Its own randomness.
+    /// The caller's random number generator.
     pub random: ChaCha8Rng,
-    /// Where it writes down what it sees.
+    /// History to which the caller records its requests.
     pub history: History,
     database_name: String,
     addresses: NodeAddresses,
-    links: Vec<Option<Link>>,
-    /// The newest token, if its sessions present tokens.
+    connections: Vec<Option<NodeConnection>>,
+    /// The newest token; `None` if the caller presents no tokens.
     token: Option<String>,
 }
 
 impl Caller {
-    /// A caller without connections.
+    /// Creates a caller without connections.
     pub fn new(
         id: CallerId,
         database: (usize, String),
@@ -77,12 +77,12 @@
             history,
             database_name: database.1,
             addresses,
-            links: (0..nodes).map(|_| None).collect(),
+            connections: (0..nodes).map(|_| None).collect(),
             token: with_tokens.then(String::new),
         }
     }
 
-    /// Up to `count` different nodes that are up, at random.
+    /// Picks up to `count` different running nodes at random.
     pub fn pick_nodes(&mut self, count: usize) -> Vec<usize> {
         let up: Vec<usize> = {
             let addresses = self.addresses.lock().expect("no panic while held");
@@ -95,7 +95,7 @@
             .collect()
     }
 
-    /// One node that is up; waits for one.
+    /// Picks a running node at random; waits until there is one.
     pub async fn pick_node(&mut self) -> usize {
         loop {
             if let Some(node) = self.pick_nodes(1).pop() {
@@ -105,28 +105,27 @@
         }
     }
 
-    /// A number to be echoed by an answer.
+    /// Draws a nonce, which the answer must repeat.
     pub fn nonce(&mut self) -> String {
         format!("{:016x}", self.random.random::<u64>())
     }
 
-    /// Makes sure there is a usable connection; `false` if the node cannot be
-    /// reached now.
+    /// Connects to a node unless connected; `false` if the node is unreachable.
     pub async fn ensure_connected(&mut self, node: usize) -> bool {
-        let usable = self.links[node]
+        let usable = self.connections[node]
             .as_ref()
-            .is_some_and(|link| !link.client.is_closed());
+            .is_some_and(|connection| !connection.client.is_closed());
         if usable {
             return true;
         }
-        self.links[node] = self.connect(node).await;
-        if self.links[node].is_none() {
+        self.connections[node] = self.connect(node).await;
+        if self.connections[node].is_none() {
             tokio::time::sleep(RECONNECT_PAUSE).await;
         }
-        self.links[node].is_some()
+        self.connections[node].is_some()
     }
 
-    async fn connect(&self, node: usize) -> Option<Link> {
+    async fn connect(&self, node: usize) -> Option<NodeConnection> {
         let address = self.addresses.lock().expect("no panic while held")[node]?;
         let text = format!(
             "host={} port={} user=demo dbname={}",
@@ -138,24 +137,24 @@
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
         let (client, connection) = connected.ok()?.ok()?;
         let ended_with = Arc::new(Mutex::new(None));
-        let noted = ended_with.clone();
+        let code_cell = ended_with.clone();
         tokio::spawn(async move {
             if let Err(error) = connection.await {
                 let code = error.code().map(|code| code.code().to_owned());
-                *noted.lock().expect("no panic while held") = code;
+                *code_cell.lock().expect("no panic while held") = code;
             }
         });
-        Some(Link { client, ended_with })
+        Some(NodeConnection { client, ended_with })
     }
 
     /// Runs a query on a connected node.
-    pub async fn ask(&self, node: usize, query: &str) -> Answer {
-        let Some(link) = &self.links[node] else {
+    pub async fn run_query(&self, node: usize, query: &str) -> Answer {
+        let Some(connection) = &self.connections[node] else {
             return Answer::NotRun(RECONNECT_PAUSE);
         };
-        match tokio::time::timeout(PATIENCE, link.client.simple_query(query)).await {
-            Ok(Ok(messages)) => Answer::Rows(rows_of(&messages)),
-            Ok(Err(error)) => answer_of_error(&error, link).await,
+        match tokio::time::timeout(ANSWER_TIMEOUT, connection.client.simple_query(query)).await {
+            Ok(Ok(messages)) => Answer::Rows(text_rows(&messages)),
+            Ok(Err(error)) => answer_from_error(&error, connection).await,
             Err(_) => Answer::Cut,
         }
     }
@@ -166,23 +165,23 @@
             None => true,
             Some(token) => {
                 let set = format!("SET linkhold.token = '{token}'");
-                matches!(self.ask(node, &set).await, Answer::Rows(_))
+                matches!(self.run_query(node, &set).await, Answer::Rows(_))
             }
         }
     }
 
-    /// Takes the token of the node that acknowledged a write.
-    pub async fn take_token(&mut self, node: usize) {
+    /// Fetches the session's token from the node that acknowledged a write.
+    pub async fn fetch_token(&mut self, node: usize) {
         if self.token.is_none() {
             return;
         }
-        if let Answer::Rows(rows) = self.ask(node, "SHOW linkhold.token").await {
+        if let Answer::Rows(rows) = self.run_query(node, "SHOW linkhold.token").await {
             self.token = rows.into_iter().flatten().next();
         }
     }
 }
 
-fn rows_of(messages: &[SimpleQueryMessage]) -> Vec<Vec<String>> {
+fn text_rows(messages: &[SimpleQueryMessage]) -> Vec<Vec<String>> {
     messages
         .iter()
         .filter_map(|message| match message {
@@ -196,9 +195,9 @@
         .collect()
 }
 
-async fn answer_of_error(error: &tokio_postgres::Error, link: &Link) -> Answer {
+async fn answer_from_error(error: &tokio_postgres::Error, connection: &NodeConnection) -> Answer {
     let Some(database_error) = error.as_db_error() else {
-        return answer_of_broken_link(link).await;
+        return answer_after_disconnect(connection).await;
     };
     let detail = database_error.detail().unwrap_or_default();
     let field = |name: &str| {
@@ -223,12 +222,16 @@
     }
 }
 
-/// The connection has ended. If the node's last word was that it leaves, the
-/// request came after it and was not run.
-async fn answer_of_broken_link(link: &Link) -> Answer {
+/// Returns the answer to a request on a broken connection. If the node announced its
+/// stop as it closed the connection, the request came later and was not run.
+async fn answer_after_disconnect(connection: &NodeConnection) -> Answer {
     const NOTE_PAUSE: Duration = Duration::from_millis(20);
     tokio::time::sleep(NOTE_PAUSE).await;
-    let ended_with = link.ended_with.lock().expect("no panic while held").clone();
+    let ended_with = connection
+        .ended_with
+        .lock()
+        .expect("no panic while held")
+        .clone();
     if ended_with.as_deref() == Some(STOPPING) {
         Answer::NotRun(Duration::ZERO)
     } else {
--- a/crates/linkhold/src/demo/checker.rs
+++ b/crates/linkhold/src/demo/checker.rs
@@ -1,4 +1,4 @@
-//! Compares what callers saw with what the databases hold.
+//! Compares what callers observed with the contents of the databases.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt;
@@ -6,38 +6,38 @@
 
 use super::history::{CallerId, Events, ReadOutcome, WriteEvent, WriteOutcome};
 
-/// Time a leaving back end may still get new work.
+/// Time for which a leaving back end may still get new work.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(3);
-/// Marker in a statement that names its caller's transaction.
+/// Start of the comment in a statement that names its caller's transaction.
 pub const TRANSACTION_MARK: &str = "/* transaction=";
 
-/// A statement as an instance ran it.
+/// A statement that an instance executed.
 #[derive(Clone, Debug)]
-pub struct RanStatement {
-    /// Which instance.
+pub struct ExecutedStatement {
+    /// Instance index.
     pub instance: usize,
-    /// Connection it came on.
+    /// Connection on which the statement arrived.
     pub connection: u64,
-    /// Transaction it ran in.
+    /// Transaction of the statement.
     pub transaction: u64,
     /// SQL text.
     pub text: String,
-    /// When.
+    /// Start time.
     pub at: Instant,
 }
 
-/// What a database holds and did, as its own stand-in tells.
+/// Contents and records of a database, as reported by its stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct DatabaseTruth {
-    /// Identities of all rows, once for each row.
+    /// IDs of all rows; an ID occurs once for each of its rows.
     pub ids: Vec<String>,
-    /// Statements run, in order.
-    pub statements: Vec<RanStatement>,
-    /// Elections: when, term and instance.
+    /// Executed statements, in order.
+    pub statements: Vec<ExecutedStatement>,
+    /// Elections: time, term and elected instance.
     pub elections: Vec<(Instant, u64, usize)>,
-    /// Most connections any instance ever had open, and its limit.
+    /// Maximum number of connections open at once on any instance.
     pub most_connections: usize,
-    /// Connections an instance accepts.
+    /// Connection limit of an instance.
     pub connection_limit: usize,
 }
 
@@ -46,44 +46,44 @@
 pub enum ViolationKind {
     /// A session did not read its own acknowledged write.
     StaleRead,
-    /// An acknowledged write is not there.
+    /// An acknowledged write is missing.
     LostWrite,
-    /// A write is there more than once.
+    /// A write was applied more than once.
     DoubleRun,
-    /// A write refused as not run is there.
+    /// A write refused as not run was applied.
     FalseNotRun,
-    /// A write said to have completed is not there.
+    /// A write reported as already completed is missing.
     FalseCompleted,
-    /// Part of a transaction is there.
+    /// Only part of a transaction was applied.
     PartialTransaction,
-    /// Statements of two callers' transactions share one transaction.
+    /// Statements of two callers' transactions ran in one transaction.
     MixedTransactions,
     /// One transaction ran on two connections.
     SplitTransaction,
-    /// An answer to another request.
+    /// A caller got the answer to another request.
     WrongAnswer,
-    /// An answer that is not whole.
+    /// An answer is incomplete.
     PartialAnswer,
     /// A node's table went back to a lower version.
     VersionReversal,
-    /// An accepted edit never came into force on a node.
+    /// An accepted edit never took effect on a node.
     EditNotInForce,
-    /// An accepted edit was undone by another one.
+    /// Another edit overwrote an accepted edit.
     LostEdit,
     /// A leaving back end got new work.
     WorkAfterLeaving,
-    /// A request was cut by an orderly stop.
+    /// A graceful stop cut a request.
     CutRequest,
-    /// More connections than the limit.
+    /// An instance had more connections than its limit.
     ConnectionOverrun,
 }
 
-/// A violation and where it was seen.
+/// A violation with its details.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// Kind.
     pub kind: ViolationKind,
-    /// What was seen.
+    /// Details of the violation.
     pub detail: String,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// Finds every violation of a run.
+/// Returns every violation of a run.
 pub fn check(events: &Events, truth: &[DatabaseTruth]) -> Vec<Violation> {
     let mut violations = Vec::new();
     check_writes(events, truth, &mut violations);
@@ -121,23 +121,28 @@
             counts
         })
         .collect();
-    let mut told: HashMap<(usize, &str), Vec<WriteOutcome>> = HashMap::new();
+    let mut reported: HashMap<(usize, &str), Vec<WriteOutcome>> = HashMap::new();
     for write in &events.writes {
         for id in &write.ids {
-            told.entry((write.database, id))
+            reported
+                .entry((write.database, id))
                 .or_default()
                 .push(write.outcome);
         }
-        check_whole(write, &counts[write.database], violations);
+        check_atomicity(write, &counts[write.database], violations);
     }
-    for ((database, id), outcomes) in &told {
+    for ((database, id), outcomes) in &reported {
         let count = counts[*database].get(id).copied().unwrap_or(0);
         check_row(id, count, outcomes, violations);
     }
 }
 
-/// All rows of a transaction are there, or none.
-fn check_whole(write: &WriteEvent, counts: &HashMap<&str, usize>, violations: &mut Vec<Violation>) {
+/// Checks that all rows of a transaction exist, or none.
+fn check_atomicity(
+    write: &WriteEvent,
+    counts: &HashMap<&str, usize>,
+    violations: &mut Vec<Violation>,
+) {
     let present = write
         .ids
         .iter()
@@ -149,9 +154,10 @@
     }
 }
 
-/// A row that several requests with one key may have tried to write.
+/// Checks a row against the outcomes of all requests that tried to write it; several
+/// requests with one key may have.
 fn check_row(id: &str, count: usize, outcomes: &[WriteOutcome], violations: &mut Vec<Violation>) {
-    let detail = || format!("row {id} is there {count} times; told {outcomes:?}");
+    let detail = || format!("row {id} exists {count} times; reported {outcomes:?}");
     let any = |wanted: WriteOutcome| outcomes.contains(&wanted);
     if count > 1 {
         add(violations, ViolationKind::DoubleRun, detail());
@@ -173,11 +179,11 @@
 fn check_reads(events: &Events, violations: &mut Vec<Violation>) {
     let mut own: HashMap<(CallerId, usize), Vec<(Duration, u64)>> = HashMap::new();
     for write in &events.writes {
-        let told_done = matches!(
+        let is_completed = matches!(
             write.outcome,
             WriteOutcome::Acknowledged | WriteOutcome::AlreadyCompleted
         );
-        if told_done {
+        if is_completed {
             own.entry((write.caller, write.database))
                 .or_default()
                 .push((write.finished, write.sequence));
@@ -193,14 +199,14 @@
             continue;
         };
         if *nonce != read.nonce {
-            let detail = format!("asked {}, got {nonce}", read.nonce);
+            let detail = format!("expected nonce {}, got {nonce}", read.nonce);
             add(violations, ViolationKind::WrongAnswer, detail);
         }
         if *rows != read.expected_rows {
             let detail = format!("{rows} of {} rows", read.expected_rows);
             add(violations, ViolationKind::PartialAnswer, detail);
         }
-        let must_see = own
+        let newest_own = own
             .get(&(read.caller, read.database))
             .into_iter()
             .flatten()
@@ -208,9 +214,9 @@
             .map(|(_, sequence)| *sequence)
             .max()
             .unwrap_or(0);
-        if *sequence < must_see {
+        if *sequence < newest_own {
             let detail = format!(
-                "caller {} in database {} saw {sequence} after {must_see} was acknowledged",
+                "caller {} in database {} saw {sequence} after {newest_own} was acknowledged",
                 read.caller, read.database
             );
             add(violations, ViolationKind::StaleRead, detail);
@@ -223,7 +229,7 @@
         let mut marks: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
         let mut connections: BTreeMap<&str, BTreeSet<(usize, u64)>> = BTreeMap::new();
         for statement in &database.statements {
-            let mark = mark_of(&statement.text);
+            let mark = transaction_mark(&statement.text);
             marks.entry(statement.transaction).or_default().extend(mark);
             if let Some(mark) = mark {
                 let connection = (statement.instance, statement.connection);
@@ -244,8 +250,9 @@
     }
 }
 
-/// The caller's transaction that a statement's text names.
-fn mark_of(text: &str) -> Option<&str> {
+/// Returns the caller's transaction that a statement's comment names; `None` without
+/// one.
+fn transaction_mark(text: &str) -> Option<&str> {
     let start = text.find(TRANSACTION_MARK)? + TRANSACTION_MARK.len();
     let end = text[start..].find(' ')? + start;
     Some(&text[start..end])
@@ -278,7 +285,7 @@
 fn check_leaving(events: &Events, truth: &[DatabaseTruth], violations: &mut Vec<Violation>) {
     for leaving in &events.leaving {
         let from = leaving.at + LEAVING_GRACE;
-        // A transaction begun before may still go on.
+        // A transaction that began before may continue.
         let begun: HashSet<u64> = truth[leaving.database]
             .statements
             .iter()
@@ -306,7 +313,7 @@
 }
 
 fn check_cuts(events: &Events, violations: &mut Vec<Violation>) {
-    if !events.no_cut_allowed {
+    if !events.cuts_forbidden {
         return;
     }
     let writes = events
--- a/crates/linkhold/src/demo/fault/mod.rs
+++ b/crates/linkhold/src/demo/fault/mod.rs
@@ -1,22 +1,22 @@
-//! Faults, each with a name and a schedule.
+//! Faults of a run, each with a name and a schedule.
 
 mod run;
 mod schedule;
 
 pub use run::FaultRun;
 
-/// What breaks in a run.
+/// Fault to inject in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// A primary crashes, and later comes back.
+    /// The primaries crash and later restart.
     PrimaryCrash,
-    /// A primary is cut off from its peers and goes on accepting work.
+    /// The primaries are isolated from their peers but continue to accept work.
     PrimaryPartition,
-    /// One replica of each database stays far behind.
+    /// One replica of each database lags far behind.
     ReplicaFarBehind,
-    /// A node dies with transactions open.
+    /// A node crashes with open transactions.
     NodeCrash,
     /// The platform's store is down.
     StoreDown,
@@ -24,19 +24,19 @@
     StoreLostAnswer,
     /// The platform's store is slow.
     StoreSlow,
-    /// A node is paused: nothing passes between it and the databases.
+    /// A node is paused: no traffic passes between it and the databases.
     PausedHolder,
-    /// Two operators edit at once.
+    /// Two operators edit the table at once.
     ConcurrentEdits,
-    /// Nodes are stopped and started again in order, one after the other.
+    /// Nodes are stopped gracefully and restarted, one after the other.
     NodeStop,
-    /// A back end leaves.
+    /// The table marks a back end as leaving.
     BackendLeaving,
-    /// An instance answers after the node has given up.
+    /// An instance answers after the node's statement timeout.
     LateAnswers,
-    /// A burst of feed reads.
+    /// A burst of reads.
     FeedBurst,
-    /// Two or three of the others, chosen by the seed.
+    /// Two or three of the other faults, chosen by the seed.
     Mixed,
 }
 
@@ -60,7 +60,7 @@
         Self::Mixed,
     ];
 
-    /// Name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The fault with this name.
+    /// Returns the fault with this name; `None` if there is none.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|fault| fault.name() == name)
     }
--- a/crates/linkhold/src/demo/fault/run.rs
+++ b/crates/linkhold/src/demo/fault/run.rs
@@ -1,4 +1,4 @@
-//! Runs a fault's schedule on a world.
+//! Runs the schedule of a fault on the system under test.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -13,19 +13,19 @@
 use super::Fault;
 use super::schedule::{Action, Step};
 use crate::demo::DemoOptions;
-use crate::demo::history::{FaultEvent, History, LeavingEvent, VersionEvent};
-use crate::demo::world::{FAR_BEHIND, World};
+use crate::demo::history::{History, LeavingEvent, PrimaryLossEvent, VersionEvent};
+use crate::demo::world::{FAR_BEHIND_LAG, World};
 use crate::table_editor::{Edit, EditOutcome};
 
-/// How often the schedule and the nodes' table versions are looked at.
+/// Interval at which the schedule and the nodes' table versions are checked.
 const TICK: Duration = Duration::from_millis(20);
-/// Longest wait for an accepted edit to be in force on a node.
+/// Maximum wait for an accepted edit to be in force on a node.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Answer delay of the slow instance; longer than the nodes' statement
-/// time-out, so that answers come after the node has given up.
-const LATE_ANSWER: Duration = Duration::from_millis(2_500);
+/// Answer delay of the slow instance; longer than the nodes' statement timeout, so
+/// that answers come after the node has given up.
+const LATE_ANSWER_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Runs a fault's schedule.
+/// A run of a fault's schedule.
 pub struct FaultRun {
     steps: Vec<Step>,
     faults: Vec<Fault>,
@@ -36,7 +36,7 @@
 }
 
 impl FaultRun {
-    /// The schedule of the chosen fault. Every run has one edit of the table.
+    /// Prepares the schedule of the chosen fault, plus one edit of the table.
     pub fn new(options: &DemoOptions) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(options.seed);
         let mut steps = options.fault.schedule(&mut random, options.nodes);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Names of the faults in the schedule, joined by `+`.
+    /// Returns the names of the faults in the schedule, joined by `+`.
     pub fn names(&self) -> String {
         let names: Vec<&str> = self.faults.iter().map(|fault| fault.name()).collect();
         names.join("+")
@@ -75,21 +75,21 @@
             .steps
             .iter()
             .any(|step| matches!(step.action, Action::CrashNode(_) | Action::PauseNode(_)));
-        history.record(|events| events.no_cut_allowed = stops_nodes && !breaks_nodes);
+        history.record(|events| events.cuts_forbidden = stops_nodes && !breaks_nodes);
         let mut steps = std::mem::take(&mut self.steps).into_iter().peekable();
         while history.now() < self.duration {
             let done = history.now().as_secs_f64() / self.duration.as_secs_f64();
             if let Some(step) = steps.next_if(|step| step.at <= done) {
-                self.act(step.action, world, history).await?;
+                self.perform(step.action, world, history).await?;
                 continue;
             }
-            note_versions(world, history);
+            record_versions(world, history);
             tokio::time::sleep(TICK).await;
         }
         Ok(())
     }
 
-    /// Ends every fault that may still last.
+    /// Ends every fault that may still be active.
     pub async fn undo_all(&mut self, world: &mut World) -> Result<()> {
         for group in &world.groups {
             for instance in 0..group.addresses().len() {
@@ -102,36 +102,41 @@
         Ok(())
     }
 
-    /// Waits until the nodes that are up have the newest accepted table, and
-    /// notes what they have then.
-    pub async fn note_final_versions(&self, world: &World, history: &History) {
+    /// Waits until the running nodes have the newest accepted table in force, and
+    /// records the versions they have then.
+    pub async fn record_final_versions(&self, world: &World, history: &History) {
         let accepted = history.newest_accepted_edit();
         for (node, running) in world.nodes.iter().enumerate() {
             let Some(running) = running else {
                 continue;
             };
             let in_force = running.wait_for_table(accepted);
-            // A node that never gets there is found by the checker.
+            // The checker reports a node that never has the version in force.
             let _ = tokio::time::timeout(IN_FORCE_TIMEOUT, in_force).await;
             let version = running.shared().table.load().version;
             history.record(|events| events.final_versions.push(VersionEvent { node, version }));
         }
     }
 
-    async fn act(&mut self, action: Action, world: &mut World, history: &History) -> Result<()> {
+    async fn perform(
+        &mut self,
+        action: Action,
+        world: &mut World,
+        history: &History,
+    ) -> Result<()> {
         match action {
-            Action::CrashPrimaries => self.take_primaries(world, history, Taking::Crash),
-            Action::IsolatePrimaries => self.take_primaries(world, history, Taking::Isolate),
+            Action::CrashPrimaries => self.fail_primaries(world, history, PrimaryFault::Crash),
+            Action::IsolatePrimaries => self.fail_primaries(world, history, PrimaryFault::Isolate),
             Action::RestartInstances => {
                 for_each_instance(world, |group, instance| group.restart(instance));
             }
             Action::HealInstances => {
                 for_each_instance(world, |group, instance| group.heal(instance));
             }
-            Action::FallBehind => {
+            Action::DelayReplicas => {
                 for group in &world.groups {
-                    let replica = a_replica(group);
-                    group.set_lag(replica, FAR_BEHIND);
+                    let replica = replica_after_primary(group);
+                    group.set_lag(replica, FAR_BEHIND_LAG);
                 }
             }
             Action::CrashNode(node) => world.crash_node(node),
@@ -145,16 +150,16 @@
             Action::ResumeNode(node) => set_links(world, node, Link::Open),
             Action::Store(faults) => world.platform.set_faults(faults),
             Action::Edit => self.edit_weight(world, history).await?,
-            Action::EditTwice => self.edit_twice(world, history).await?,
-            Action::Leave => self.leave(world, history).await?,
-            Action::ComeBack => self.come_back(world, history).await?,
-            Action::AnswerLate => {
+            Action::EditConcurrently => self.edit_concurrently(world, history).await?,
+            Action::MarkLeaving => self.mark_leaving(world, history).await?,
+            Action::MarkActive => self.mark_active(world, history).await?,
+            Action::DelayAnswers => {
                 for group in &world.groups {
                     let instance = self.random.random_range(0..group.addresses().len());
-                    group.set_answer_delay(instance, LATE_ANSWER);
+                    group.set_answer_delay(instance, LATE_ANSWER_DELAY);
                 }
             }
-            Action::AnswerInTime => for_each_instance(world, |group, instance| {
+            Action::ResetAnswerDelay => for_each_instance(world, |group, instance| {
                 group.set_answer_delay(instance, Duration::ZERO);
             }),
             Action::Burst(on) => history.burst().store(on, Ordering::Relaxed),
@@ -162,16 +167,16 @@
         Ok(())
     }
 
-    fn take_primaries(&self, world: &World, history: &History, taking: Taking) {
+    fn fail_primaries(&self, world: &World, history: &History, fault: PrimaryFault) {
         for (database, group) in world.groups.iter().enumerate() {
             let Some(primary) = group.primary() else {
                 continue;
             };
-            match taking {
-                Taking::Crash => group.crash(primary),
-                Taking::Isolate => group.isolate(primary),
+            match fault {
+                PrimaryFault::Crash => group.crash(primary),
+                PrimaryFault::Isolate => group.isolate(primary),
             }
-            let event = FaultEvent {
+            let event = PrimaryLossEvent {
                 at: history.now(),
                 database,
             };
@@ -179,7 +184,7 @@
         }
     }
 
-    /// Changes one weight and waits until it is in force on all nodes.
+    /// Changes one weight and waits until the change is in force on all nodes.
     async fn edit_weight(&mut self, world: &World, history: &History) -> Result<()> {
         self.edits += 1;
         let weight = (10 + self.edits % 5).to_string();
@@ -187,11 +192,11 @@
             .prepare(world, |sheet| set_cell(sheet, 0, Column::Weight, &weight))
             .await?;
         let outcome = edit.store(&world.table_client()).await;
-        accepted(&outcome, world, history).await
+        record_accepted_edit(&outcome, world, history).await
     }
 
-    /// Two operators work from the same version and change different cells.
-    async fn edit_twice(&mut self, world: &World, history: &History) -> Result<()> {
+    /// Makes two operators change different cells of the same version at once.
+    async fn edit_concurrently(&mut self, world: &World, history: &History) -> Result<()> {
         self.edits += 1;
         let weight = (20 + self.edits).to_string();
         let slots = (4 + self.edits % 2).to_string();
@@ -203,8 +208,8 @@
             .await?;
         let client = world.table_client();
         let outcomes = tokio::join!(first.store(&client), second.store(&client));
-        accepted(&outcomes.0, world, history).await?;
-        accepted(&outcomes.1, world, history).await?;
+        record_accepted_edit(&outcomes.0, world, history).await?;
+        record_accepted_edit(&outcomes.1, world, history).await?;
         let sheet = Sheet::parse(&client.read().await?.body).unwrap_or_default();
         for (column, wanted) in [(Column::Weight, &weight), (Column::Slots, &slots)] {
             let found = sheet.rows.get(1).map_or("", |row| row.cell(column));
@@ -216,10 +221,10 @@
         Ok(())
     }
 
-    async fn leave(&mut self, world: &World, history: &History) -> Result<()> {
+    async fn mark_leaving(&mut self, world: &World, history: &History) -> Result<()> {
         let database = self.random.random_range(0..world.groups.len());
         let group = &world.groups[database];
-        let instance = a_replica(group);
+        let instance = replica_after_primary(group);
         let row = database * world.sizes.instances + instance;
         let edit = self
             .prepare(world, |sheet| {
@@ -235,10 +240,10 @@
         };
         self.leaving = Some((database, instance));
         history.record(|events| events.leaving.push(event));
-        accepted(&outcome, world, history).await
+        record_accepted_edit(&outcome, world, history).await
     }
 
-    async fn come_back(&mut self, world: &World, history: &History) -> Result<()> {
+    async fn mark_active(&mut self, world: &World, history: &History) -> Result<()> {
         let Some((database, instance)) = self.leaving.take() else {
             return Ok(());
         };
@@ -252,10 +257,10 @@
             .prepare(world, |sheet| set_cell(sheet, row, Column::State, "active"))
             .await?;
         let outcome = edit.store(&world.table_client()).await;
-        accepted(&outcome, world, history).await
+        record_accepted_edit(&outcome, world, history).await
     }
 
-    /// An edit of the newest version. Reads again while the store is down.
+    /// Prepares an edit of the newest version; repeats the read while the store is down.
     async fn prepare(&mut self, world: &World, change: impl Fn(&mut Sheet)) -> Result<Edit> {
         const READ_ATTEMPTS: usize = 100;
         const READ_PAUSE: Duration = Duration::from_millis(100);
@@ -263,7 +268,7 @@
         for _ in 0..READ_ATTEMPTS {
             if let Ok(table) = client.read().await {
                 let mut edited = Sheet::parse(&table.body)
-                    .map_err(|findings| eyre!("the stored table has findings: {findings:?}"))?;
+                    .map_err(|findings| eyre!("the stored table is invalid: {findings:?}"))?;
                 change(&mut edited);
                 return Ok(Edit {
                     base_version: table.version,
@@ -279,7 +284,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum Taking {
+enum PrimaryFault {
     Crash,
     Isolate,
 }
@@ -288,15 +293,15 @@
     sheet.rows[row].cells[column.index()] = value.to_owned();
 }
 
-fn a_replica(group: &linkhold_standin::group::Group) -> usize {
+fn replica_after_primary(group: &linkhold_standin::group::Group) -> usize {
     let primary = group.primary().unwrap_or(0);
     (primary + 1) % group.addresses().len()
 }
 
-fn for_each_instance(world: &World, act: impl Fn(&linkhold_standin::group::Group, usize)) {
+fn for_each_instance(world: &World, perform: impl Fn(&linkhold_standin::group::Group, usize)) {
     for group in &world.groups {
         for instance in 0..group.addresses().len() {
-            act(group, instance);
+            perform(group, instance);
         }
     }
 }
@@ -307,9 +312,13 @@
     }
 }
 
-/// Records an accepted edit and how long it took to be in force on all nodes
-/// that are up. An edit without a clear answer is not accepted.
-async fn accepted(outcome: &EditOutcome, world: &World, history: &History) -> Result<()> {
+/// Records an accepted edit and the time until it is in force on all running nodes.
+/// An edit with an unknown outcome does not count as accepted.
+async fn record_accepted_edit(
+    outcome: &EditOutcome,
+    world: &World,
+    history: &History,
+) -> Result<()> {
     let version = match outcome {
         EditOutcome::Stored(version) => *version,
         EditOutcome::Unknown(_) => return Ok(()),
@@ -319,16 +328,16 @@
     let start = Instant::now();
     for node in world.nodes.iter().flatten() {
         let in_force = node.wait_for_table(version);
-        // A node that never gets there is found by the checker.
+        // The checker reports a node that never has the version in force.
         let _ = tokio::time::timeout(IN_FORCE_TIMEOUT, in_force).await;
     }
     let elapsed = u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX);
     history.record(|events| events.edit_in_force_ms.push(elapsed));
-    note_versions(world, history);
+    record_versions(world, history);
     Ok(())
 }
 
-fn note_versions(world: &World, history: &History) {
+fn record_versions(world: &World, history: &History) {
     for (node, running) in world.nodes.iter().enumerate() {
         if let Some(running) = running {
             let version = running.shared().table.load().version;
--- a/crates/linkhold/src/demo/fault/schedule.rs
+++ b/crates/linkhold/src/demo/fault/schedule.rs
@@ -1,4 +1,4 @@
-//! What each fault does, and when.
+//! Schedules of the faults.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const SLOW_STORE: Duration = Duration::from_millis(1_000);
 
-/// Two or three different faults at once.
+/// Returns the schedule of two or three different faults at once.
 fn mixed_schedule(random: &mut ChaCha8Rng, nodes: usize) -> Vec<Step> {
     let single: Vec<Fault> = Fault::ALL
         .into_iter()
@@ -27,25 +27,25 @@
     steps
 }
 
-/// Something that happens at a fraction of the run.
+/// An action at a fraction of the run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Step {
-    /// Fraction of the run.
+    /// Time, as a fraction of the run.
     pub at: f64,
-    /// What happens.
+    /// Action to perform.
     pub action: Action,
-    /// Whose step it is.
+    /// Fault to which the step belongs.
     pub fault: Fault,
 }
 
-/// What a fault does.
+/// Action of a fault.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Action {
     CrashPrimaries,
     RestartInstances,
     IsolatePrimaries,
     HealInstances,
-    FallBehind,
+    DelayReplicas,
     CrashNode(usize),
     StartNode(usize),
     StopNode(usize),
@@ -53,16 +53,16 @@
     ResumeNode(usize),
     Store(PlatformFaults),
     Edit,
-    EditTwice,
-    Leave,
-    ComeBack,
-    AnswerLate,
-    AnswerInTime,
+    EditConcurrently,
+    MarkLeaving,
+    MarkActive,
+    DelayAnswers,
+    ResetAnswerDelay,
     Burst(bool),
 }
 
 impl Fault {
-    /// What it does, at which fraction of the run.
+    /// Returns the steps of the fault.
     pub(super) fn schedule(self, random: &mut ChaCha8Rng, nodes: usize) -> Vec<Step> {
         let node = random.random_range(0..nodes);
         let step = |at: f64, action: Action| Step {
@@ -84,7 +84,7 @@
                 step(0.65, Action::IsolatePrimaries),
                 step(0.85, Action::HealInstances),
             ],
-            Self::ReplicaFarBehind => vec![step(0.0, Action::FallBehind)],
+            Self::ReplicaFarBehind => vec![step(0.0, Action::DelayReplicas)],
             Self::NodeCrash => vec![
                 step(0.25, Action::CrashNode(node)),
                 step(0.45, Action::StartNode(node)),
@@ -138,9 +138,9 @@
                 step(0.75, Action::ResumeNode((node + 1) % nodes)),
             ],
             Self::ConcurrentEdits => vec![
-                step(0.25, Action::EditTwice),
-                step(0.50, Action::EditTwice),
-                step(0.75, Action::EditTwice),
+                step(0.25, Action::EditConcurrently),
+                step(0.50, Action::EditConcurrently),
+                step(0.75, Action::EditConcurrently),
             ],
             Self::NodeStop => (0..nodes)
                 .flat_map(|node| {
@@ -152,12 +152,15 @@
                     ]
                 })
                 .collect(),
-            Self::BackendLeaving => vec![step(0.20, Action::Leave), step(0.80, Action::ComeBack)],
+            Self::BackendLeaving => vec![
+                step(0.20, Action::MarkLeaving),
+                step(0.80, Action::MarkActive),
+            ],
             Self::LateAnswers => vec![
-                step(0.20, Action::AnswerLate),
-                step(0.45, Action::AnswerInTime),
-                step(0.60, Action::AnswerLate),
-                step(0.80, Action::AnswerInTime),
+                step(0.20, Action::DelayAnswers),
+                step(0.45, Action::ResetAnswerDelay),
+                step(0.60, Action::DelayAnswers),
+                step(0.80, Action::ResetAnswerDelay),
             ],
             Self::FeedBurst => vec![
                 step(0.30, Action::Burst(true)),
--- a/crates/linkhold/src/demo/history.rs
+++ b/crates/linkhold/src/demo/history.rs
@@ -1,4 +1,4 @@
-//! What callers saw.
+//! History of a run, as callers observed it.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
@@ -7,72 +7,72 @@
 /// Identifies a caller.
 pub type CallerId = u32;
 
-/// What a caller was told about a write.
+/// Outcome of a write, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// Acknowledged.
     Acknowledged,
     /// Refused as not run.
     NotRun,
-    /// Said to have completed under its request key.
+    /// Reported as already completed under its request key.
     AlreadyCompleted,
-    /// Not known.
+    /// Reported as unknown.
     Unknown,
     /// The connection broke without an answer.
     Cut,
 }
 
-/// One write of a caller: a row, or several in one transaction.
+/// A write of a caller: one row, or several in one transaction.
 #[derive(Clone, Debug)]
 pub struct WriteEvent {
-    /// Who.
+    /// Caller.
     pub caller: CallerId,
-    /// Where.
+    /// Database index.
     pub database: usize,
-    /// Identities of the rows.
+    /// IDs of the rows.
     pub ids: Vec<String>,
-    /// Number of the write in the caller's own order.
+    /// Sequence number of the write among the caller's writes.
     pub sequence: u64,
-    /// Since the start of the run.
+    /// Start, as time since the start of the run.
     pub started: Duration,
-    /// Since the start of the run.
+    /// End, as time since the start of the run.
     pub finished: Duration,
-    /// What was said.
+    /// Reported outcome.
     pub outcome: WriteOutcome,
 }
 
-/// What a caller got for a read.
+/// Outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Rows.
+    /// Answered with rows.
     Answered {
-        /// The number the caller put into the query, as it came back.
+        /// Nonce in the answer.
         nonce: String,
-        /// Highest of the caller's own writes in the answer.
+        /// Highest sequence number of the caller's own writes in the answer.
         sequence: u64,
         /// Number of rows.
         rows: usize,
     },
     /// Refused as not run.
     NotRun,
-    /// No answer.
+    /// Answered with an error other than not run.
     Failed,
     /// The connection broke without an answer.
     Cut,
 }
 
-/// One read of a caller.
+/// A read of a caller.
 #[derive(Clone, Debug)]
 pub struct ReadEvent {
-    /// Who.
+    /// Caller.
     pub caller: CallerId,
-    /// Where.
+    /// Database index.
     pub database: usize,
-    /// Since the start of the run.
+    /// Start, as time since the start of the run.
     pub started: Duration,
-    /// Since the start of the run.
+    /// End, as time since the start of the run.
     pub finished: Duration,
-    /// The number put into the query.
+    /// Nonce in the query.
     pub nonce: String,
     /// Rows a whole answer has.
     pub expected_rows: usize,
@@ -80,38 +80,38 @@
     pub outcome: ReadOutcome,
 }
 
-/// A table version seen in force on a node.
+/// A table version that was in force on a node.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionEvent {
-    /// Which node.
+    /// Node index.
     pub node: usize,
-    /// Which version.
+    /// Table version.
     pub version: u64,
 }
 
-/// Moments that faults make notable.
+/// Loss of a primary by a fault.
 #[derive(Clone, Copy, Debug)]
-pub struct FaultEvent {
-    /// Since the start of the run.
+pub struct PrimaryLossEvent {
+    /// Time since the start of the run.
     pub at: Duration,
-    /// Database whose primary was taken away.
+    /// Database that lost its primary.
     pub database: usize,
 }
 
-/// An instance that takes no new work from a moment on.
+/// An instance that the table marks as leaving, so that it must get no new work.
 #[derive(Clone, Copy, Debug)]
 pub struct LeavingEvent {
-    /// When the table said so.
+    /// Time at which the table marked the instance as leaving.
     pub at: Instant,
-    /// When it might work again, if it was brought back.
+    /// Time from which the instance may get work again, if it was made active.
     pub until: Option<Instant>,
-    /// Where.
+    /// Database index.
     pub database: usize,
-    /// Which instance.
+    /// Instance index.
     pub instance: usize,
 }
 
-/// Everything seen in a run.
+/// All events of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Events {
     /// Writes.
@@ -122,21 +122,21 @@
     pub versions: Vec<VersionEvent>,
     /// Table versions of the nodes that are up at the end of the run.
     pub final_versions: Vec<VersionEvent>,
-    /// Primaries taken away.
-    pub primary_faults: Vec<FaultEvent>,
-    /// Instances told to leave.
+    /// Losses of primaries.
+    pub primary_faults: Vec<PrimaryLossEvent>,
+    /// Instances marked as leaving.
     pub leaving: Vec<LeavingEvent>,
-    /// Edits acknowledged to operators, with their versions.
+    /// Versions of the edits acknowledged to operators.
     pub accepted_edits: Vec<u64>,
-    /// Accepted edits whose cells another accepted edit undid.
+    /// Accepted edits that another accepted edit overwrote.
     pub lost_edits: Vec<String>,
-    /// Milliseconds from an accepted edit until it was in force everywhere.
+    /// Milliseconds from each accepted edit until it was in force on all nodes.
     pub edit_in_force_ms: Vec<u64>,
-    /// Nodes were stopped in an orderly way: no request may be cut.
-    pub no_cut_allowed: bool,
+    /// Whether nodes were only stopped gracefully, so that no request may be cut.
+    pub cuts_forbidden: bool,
 }
 
-/// A history that many tasks add to.
+/// A history that many tasks record to.
 #[derive(Clone)]
 pub struct History {
     start: Instant,
@@ -145,7 +145,7 @@
 }
 
 impl History {
-    /// An empty history that starts now.
+    /// Creates an empty history that starts now.
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
@@ -154,33 +154,33 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// When it started.
+    /// Returns the start of the history.
     pub fn start(&self) -> Instant {
         self.start
     }
 
-    /// Switch for the extra readers of a burst.
+    /// Returns the switch for the extra readers of a burst.
     pub fn burst(&self) -> Arc<AtomicBool> {
         self.burst.clone()
     }
 
-    /// Adds to the events.
+    /// Records an event: calls `add` with the events so far.
     pub fn record(&self, add: impl FnOnce(&mut Events)) {
         add(&mut self.events.lock().expect("no panic while held"));
     }
 
-    /// Highest version of an accepted edit; 0 if there was none.
+    /// Returns the highest version of an accepted edit, or 0 if there was none.
     pub fn newest_accepted_edit(&self) -> u64 {
         let events = self.events.lock().expect("no panic while held");
         events.accepted_edits.iter().max().copied().unwrap_or(0)
     }
 
-    /// Takes all events out.
+    /// Takes all events, leaving the history empty.
     pub fn take(&self) -> Events {
         std::mem::take(&mut self.events.lock().expect("no panic while held"))
     }
--- a/crates/linkhold/src/demo/load.rs
+++ b/crates/linkhold/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! The callers of a run.
+//! Load of a run: writing and reading callers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,9 +13,9 @@
 use super::caller::{Answer, Caller};
 use super::checker::TRANSACTION_MARK;
 use super::history::{CallerId, History, ReadEvent, ReadOutcome, WriteEvent, WriteOutcome};
-use super::world::{NUMBERS, World};
+use super::world::{NUMBER_ROWS, World};
 
-/// Extra readers of each database that run only during a burst.
+/// Number of extra readers per database that run only during a burst.
 const BURST_READERS: usize = 40;
 
 /// Running callers.
@@ -25,7 +25,7 @@
     tasks: JoinSet<()>,
 }
 
-/// Kinds of writes, with their share in percent.
+/// Kind of a write.
 #[derive(Clone, Copy)]
 enum WriteKind {
     Single,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Lets every caller finish its request.
+    /// Stops all callers after their current requests.
     pub async fn stop(mut self) {
         self.burst.store(false, Ordering::Relaxed);
         self.stopping.send_replace(true);
@@ -130,10 +130,10 @@
             WriteKind::Single => write_single(&mut caller, sequence, false).await,
             WriteKind::Keyed => write_single(&mut caller, sequence, true).await,
             WriteKind::Transaction => write_transaction(&mut caller, sequence).await,
-            WriteKind::DuplicatedKeyed => write_twice(&mut caller, sequence).await,
+            WriteKind::DuplicatedKeyed => write_duplicated(&mut caller, sequence).await,
         };
         tokio::time::sleep(jittered(&mut caller, pause).max(wait)).await;
-        read_own(&mut caller).await;
+        read_own_writes(&mut caller).await;
         let pause = jittered(&mut caller, pause);
         tokio::time::sleep(pause).await;
     }
@@ -150,7 +150,7 @@
     )
 }
 
-fn outcome_of(answer: &Answer) -> WriteOutcome {
+fn write_outcome(answer: &Answer) -> WriteOutcome {
     match answer {
         Answer::Rows(_) => WriteOutcome::Acknowledged,
         Answer::NotRun(_) | Answer::Refused(_) => WriteOutcome::NotRun,
@@ -160,8 +160,8 @@
     }
 }
 
-/// How long the answer asks the caller to stay away.
-fn wait_of(answer: &Answer) -> Duration {
+/// Returns the time after which the answer asks the caller to retry.
+fn retry_delay(answer: &Answer) -> Duration {
     match answer {
         Answer::NotRun(wait) => *wait,
         _ => Duration::ZERO,
@@ -198,21 +198,21 @@
     }
     let query = insert(caller, &id, sequence);
     let started = caller.history.now();
-    let answer = caller.ask(node, &query).await;
-    record_write(caller, vec![id], sequence, started, outcome_of(&answer));
+    let answer = caller.run_query(node, &query).await;
+    record_write(caller, vec![id], sequence, started, write_outcome(&answer));
     if matches!(answer, Answer::Rows(_)) {
-        caller.take_token(node).await;
+        caller.fetch_token(node).await;
     }
-    wait_of(&answer)
+    retry_delay(&answer)
 }
 
 async fn set_key(caller: &Caller, node: usize, key: &str) -> bool {
     let set = format!("SET linkhold.request_key = '{key}'");
-    matches!(caller.ask(node, &set).await, Answer::Rows(_))
+    matches!(caller.run_query(node, &set).await, Answer::Rows(_))
 }
 
-/// The same keyed request through two nodes at once.
-async fn write_twice(caller: &mut Caller, sequence: u64) -> Duration {
+/// Sends the same keyed request through two nodes at once.
+async fn write_duplicated(caller: &mut Caller, sequence: u64) -> Duration {
     let nodes = caller.pick_nodes(2);
     let [first, second] = nodes.as_slice() else {
         return write_single(caller, sequence, true).await;
@@ -230,13 +230,13 @@
                 return None;
             }
             let started = caller.history.now();
-            let answer = caller.ask(node, query).await;
+            let answer = caller.run_query(node, query).await;
             record_write(
                 caller,
                 vec![id.clone()],
                 sequence,
                 started,
-                outcome_of(&answer),
+                write_outcome(&answer),
             );
             Some(answer)
         }
@@ -244,19 +244,19 @@
     let answers = tokio::join!(send(first), send(second));
     for (node, answer) in [(first, &answers.0), (second, &answers.1)] {
         if matches!(answer, Some(Answer::Rows(_))) {
-            caller.take_token(node).await;
+            caller.fetch_token(node).await;
         }
     }
     let waits = [answers.0, answers.1];
     waits
         .iter()
         .flatten()
-        .map(wait_of)
+        .map(retry_delay)
         .max()
         .unwrap_or_default()
 }
 
-/// Two rows in one transaction, with a read of the first in between.
+/// Writes two rows in one transaction and reads the first row in between.
 async fn write_transaction(caller: &mut Caller, sequence: u64) -> Duration {
     let node = caller.pick_node().await;
     if !caller.ensure_connected(node).await {
@@ -278,29 +278,35 @@
     ];
     let started = caller.history.now();
     for (index, statement) in statements.iter().enumerate() {
-        let answer = caller.ask(node, statement).await;
+        let answer = caller.run_query(node, statement).await;
         if !matches!(answer, Answer::Rows(_)) {
-            // Not told to commit, so nothing of it may be there.
-            let outcome = match outcome_of(&answer) {
+            // No COMMIT was sent, so no row may be applied.
+            let outcome = match write_outcome(&answer) {
                 WriteOutcome::Cut => WriteOutcome::Cut,
                 _ => WriteOutcome::NotRun,
             };
             record_write(caller, ids.to_vec(), sequence, started, outcome);
             if index > 0 {
-                caller.ask(node, "ROLLBACK").await;
+                caller.run_query(node, "ROLLBACK").await;
             }
-            return wait_of(&answer);
+            return retry_delay(&answer);
         }
     }
-    let answer = caller.ask(node, "COMMIT").await;
-    record_write(caller, ids.to_vec(), sequence, started, outcome_of(&answer));
+    let answer = caller.run_query(node, "COMMIT").await;
+    record_write(
+        caller,
+        ids.to_vec(),
+        sequence,
+        started,
+        write_outcome(&answer),
+    );
     if matches!(answer, Answer::Rows(_)) {
-        caller.take_token(node).await;
+        caller.fetch_token(node).await;
     }
-    wait_of(&answer)
+    retry_delay(&answer)
 }
 
-async fn read_own(caller: &mut Caller) {
+async fn read_own_writes(caller: &mut Caller) {
     let query = format!(
         "max(sequence) FROM publications WHERE caller = {}",
         caller.id
@@ -308,7 +314,7 @@
     read(caller, &query, 1).await;
 }
 
-/// Reads through a random node. The query's first column is the nonce.
+/// Reads through a random node. The first column of the query is the nonce.
 async fn read(caller: &mut Caller, query: &str, expected_rows: usize) -> Duration {
     let node = caller.pick_node().await;
     if !caller.ensure_connected(node).await || !caller.present_token(node).await {
@@ -317,7 +323,7 @@
     let nonce = caller.nonce();
     let query = format!("SELECT '{nonce}' AS nonce, {query}");
     let started = caller.history.now();
-    let answer = caller.ask(node, &query).await;
+    let answer = caller.run_query(node, &query).await;
     let outcome = match &answer {
         Answer::Rows(rows) => ReadOutcome::Answered {
             nonce: rows.first().map_or_else(String::new, |row| row[0].clone()),
@@ -342,7 +348,7 @@
         outcome,
     };
     caller.history.record(|events| events.reads.push(event));
-    wait_of(&answer)
+    retry_delay(&answer)
 }
 
 async fn run_reader(
@@ -357,7 +363,7 @@
             tokio::time::sleep(IDLE).await;
             continue;
         }
-        let wait = read(&mut caller, "number FROM numbers", NUMBERS).await;
+        let wait = read(&mut caller, "number FROM numbers", NUMBER_ROWS).await;
         let pause = jittered(&mut caller, pause);
         tokio::time::sleep(pause.max(wait)).await;
     }
--- a/crates/linkhold/src/demo/mod.rs
+++ b/crates/linkhold/src/demo/mod.rs
@@ -1,9 +1,10 @@
 //! The demo and experiment: a whole system in one process, under load and
-//! faults, judged by a checker.
+//! faults, verified by a checker.
 //!
 //! [`world`] starts stand-ins and nodes, [`load`] runs callers, [`fault`]
-//! breaks things on a schedule, [`history`] is what callers saw, [`checker`]
-//! compares it with what the databases hold, and [`report`] sums it up.
+//! injects faults on a schedule, [`history`] records what callers observe,
+//! [`checker`] compares the history with the contents of the databases, and
+//! [`report`] summarizes the run.
 
 mod caller;
 pub mod checker;
@@ -28,31 +29,31 @@
 use load::Load;
 use world::World;
 
-/// What to run.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct DemoOptions {
-    /// Whose sizes and load.
+    /// Profile that sets sizes and load.
     pub profile: Profile,
-    /// How long callers run.
+    /// Time for which callers run.
     pub duration: Duration,
-    /// Seed for callers, lag and faults.
+    /// Seed of callers, lag and faults.
     pub seed: u64,
     /// Number of nodes.
     pub nodes: usize,
-    /// How nodes route reads.
+    /// Read policy of the nodes.
     pub policy: ReadPolicy,
-    /// What breaks.
+    /// Fault to inject.
     pub fault: Fault,
-    /// Time between status queries without demand; a node that relied on
-    /// polling alone would notice a failover only by it.
+    /// Time between status queries that no request asks for. A node that relied on
+    /// polling alone would detect a failover only at this interval.
     pub probe_interval: Duration,
-    /// Whether each caller's sessions present tokens.
+    /// Whether callers present session tokens.
     pub tokens: bool,
-    /// Whether every write is one request sent through two nodes at once.
+    /// Whether every write is a keyed request sent through two nodes at once.
     pub only_duplicates: bool,
 }
 
-/// Runs the demo and judges it.
+/// Runs the demo and checks the result.
 pub async fn run(options: &DemoOptions) -> Result<Report> {
     let mut world = World::start(options).await?;
     let history = History::new();
@@ -62,7 +63,7 @@
     faults.run(&mut world, &history).await?;
     load.stop().await;
     faults.undo_all(&mut world).await?;
-    faults.note_final_versions(&world, &history).await;
+    faults.record_final_versions(&world, &history).await;
     let truth = world.settle().await?;
     let events = history.take();
     let violations = checker::check(&events, &truth);
--- a/crates/linkhold/src/demo/profile.rs
+++ b/crates/linkhold/src/demo/profile.rs
@@ -1,22 +1,22 @@
-//! Sizes and load of the two first users.
+//! Sizes and load of the first two users.
 
 use std::time::Duration;
 
 use linkhold_standin::group::LagProfile;
 
-/// Whose sizes and load to use.
+/// User whose sizes and load a run has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
     /// Podcast hosting: mostly feed reads, scarce slots.
     SadaaWaves,
-    /// Ledger of a heating network: more writes, more slots.
+    /// Ledger of a heating network: more writes and more slots.
     HeatNetwork,
 }
 
-/// Sizes of a profile.
+/// Sizes, latencies and load of a profile.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// Zones of instances and nodes.
+    /// Zones of the instances and nodes.
     pub zones: [&'static str; 3],
     /// One-way latency between zones.
     pub zone_latency: Duration,
@@ -24,36 +24,36 @@
     pub group: &'static str,
     /// Number of databases.
     pub databases: usize,
-    /// Instances of each.
+    /// Number of instances of each database.
     pub instances: usize,
-    /// Slots of each instance.
+    /// Number of slots of each instance.
     pub slots: usize,
-    /// Connections each instance accepts.
+    /// Connection limit of each instance.
     pub connections: usize,
-    /// Time for a new connection.
+    /// Time to accept a new connection.
     pub connect_time: Duration,
-    /// Time a statement takes in its slot.
+    /// Time that a statement occupies its slot.
     pub service_time: Duration,
     /// Replication lag.
     pub lag: LagProfile,
-    /// Silence after which a group elects.
+    /// Time without a primary after which a group elects a new one.
     pub election_timeout: Duration,
-    /// Longest wait of reads.
+    /// Maximum wait of reads.
     pub read_wait: Duration,
-    /// Longest wait of writes.
+    /// Maximum wait of writes.
     pub write_wait: Duration,
-    /// Callers that write, for each database.
+    /// Number of writing callers per database.
     pub writers: usize,
-    /// Callers that only read, for each database.
+    /// Number of read-only callers per database.
     pub readers: usize,
-    /// Pause of a writer between requests.
+    /// Mean pause of a writer between requests.
     pub writer_pause: Duration,
-    /// Pause of a reader between requests.
+    /// Mean pause of a reader between requests.
     pub reader_pause: Duration,
 }
 
 impl Profile {
-    /// Name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::SadaaWaves => "sadaa-waves",
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Its sizes.
+    /// Returns the sizes and load.
     pub fn sizes(self) -> Sizes {
         match self {
             Self::SadaaWaves => Sizes {
--- a/crates/linkhold/src/demo/report.rs
+++ b/crates/linkhold/src/demo/report.rs
@@ -12,73 +12,73 @@
 use super::world::World;
 use crate::settings::ReadPolicy;
 
-/// Marks reads of callers in the instances' records.
+/// Text that identifies callers' reads in the instances' records.
 const READ_MARK: &str = "AS nonce";
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Profile.
     pub profile: &'static str,
     /// Fault.
     pub fault: &'static str,
-    /// The faults that happened.
+    /// Names of the injected faults, joined by `+`.
     pub happened: String,
     /// Read policy.
     pub policy: &'static str,
     /// Seed.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
     /// Length of the run in seconds.
     pub seconds: f64,
-    /// Violations found.
+    /// Number of violations.
     pub violations: usize,
-    /// Reads answered.
+    /// Number of answered reads.
     pub reads: usize,
-    /// Writes acknowledged.
+    /// Number of acknowledged writes.
     pub writes: usize,
-    /// Share of answered reads that an instance ran while not primary.
+    /// Fraction of reads that ran on an instance that was not primary.
     pub replica_read_share: f64,
     /// Median latency of answered reads in milliseconds.
     pub read_p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile latency of answered reads in milliseconds.
     pub read_p99_ms: f64,
-    /// 99th percentile of the time reads took to find a fresh instance with a
-    /// slot, on the slowest node; the upper bound of a power of two.
+    /// 99th percentile of the time until a read had a fresh instance with a slot, on the
+    /// slowest node; rounded up to the upper bound of a power-of-two bucket.
     pub read_wait_p99_ms: f64,
     /// Median latency of acknowledged writes in milliseconds.
     pub write_p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile latency of acknowledged writes in milliseconds.
     pub write_p99_ms: f64,
-    /// Primaries taken away.
+    /// Number of primaries lost by faults.
     pub failovers: usize,
     /// Longest time from the loss of a primary to the next acknowledged write.
     pub failover_gap_ms: f64,
     /// Median time from an election to the next acknowledged write.
     pub after_election_p50_ms: f64,
-    /// Longest of the same.
+    /// Longest time from an election to the next acknowledged write.
     pub after_election_max_ms: f64,
     /// Longest time from the loss of a primary to the election.
     pub election_max_ms: f64,
-    /// Requests refused as not run.
+    /// Number of requests refused as not run.
     pub refusals_not_run: usize,
-    /// Requests whose outcome stayed unknown.
+    /// Number of requests whose outcome stayed unknown.
     pub unknown: usize,
-    /// Requests whose connection broke without an answer.
+    /// Number of requests whose connection broke without an answer.
     pub cut: usize,
-    /// Requests answered as completed before, under their key.
+    /// Number of requests reported as already completed under their key.
     pub already_completed: usize,
-    /// Requests sent through two nodes at once under one key.
+    /// Number of requests sent through two nodes at once under one key.
     pub duplicated: usize,
-    /// Longest time from an accepted edit until all nodes had it in force.
+    /// Longest time from an accepted edit until it was in force on all nodes.
     pub table_in_force_max_ms: u64,
-    /// The violations.
+    /// Descriptions of the violations.
     pub violation_details: Vec<String>,
 }
 
 impl Report {
-    /// Sums up a run.
+    /// Summarizes a run.
     pub fn new(
         options: &DemoOptions,
         happened: String,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The report as one line of key=value pairs.
+    /// Formats the report as one line of key=value pairs.
     pub fn line(&self) -> String {
         format!(
             "profile={} fault={} happened={} policy={} seed={} nodes={} seconds={} violations={} reads={} \
@@ -184,7 +184,7 @@
     }
 }
 
-/// Name of a policy on the command line.
+/// Returns the name of a policy on the command line.
 pub fn policy_name(policy: ReadPolicy) -> &'static str {
     match policy {
         ReadPolicy::Fence => "fence",
@@ -209,7 +209,7 @@
     waits.max().map_or(0.0, |wait| wait.as_secs_f64() * 1_000.0)
 }
 
-/// Identities that two writes of one caller share.
+/// Counts the row IDs that more than one write of a caller has.
 fn count_duplicated(events: &Events) -> usize {
     let mut seen = HashMap::new();
     for write in &events.writes {
@@ -218,11 +218,11 @@
     seen.values().filter(|count| **count > 1).count()
 }
 
-/// Latencies in microseconds.
+/// Returns a histogram of latencies in microseconds.
 fn histogram(latencies: impl Iterator<Item = Duration>) -> Histogram<u64> {
-    const LONGEST_MICROSECONDS: u64 = 600_000_000;
+    const MAX_MICROSECONDS: u64 = 600_000_000;
     const SIGNIFICANT_DIGITS: u8 = 3;
-    let mut histogram = Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    let mut histogram = Histogram::new_with_bounds(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
         .expect("the bounds are in order");
     for latency in latencies {
         let microseconds = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
@@ -250,8 +250,8 @@
         .map_or(0.0, |median| median.as_secs_f64() * 1_000.0)
 }
 
-/// Share of callers' reads that ran on an instance that was not the primary
-/// of its time, by the instances' own records.
+/// Returns the fraction of callers' reads that ran on an instance that was not primary
+/// at that time, by the instances' own records.
 fn replica_read_share(truth: &[DatabaseTruth]) -> f64 {
     let mut reads = 0_usize;
     let mut on_replicas = 0_usize;
@@ -277,7 +277,7 @@
         .map(|(_, _, instance)| *instance)
 }
 
-/// Times around each loss of a primary.
+/// Durations of the failovers after each loss of a primary.
 #[derive(Default)]
 struct FailoverGaps {
     whole: Vec<Duration>,
@@ -286,9 +286,9 @@
 }
 
 impl FailoverGaps {
-    /// Takes, for each lost primary, the next election of its database and
-    /// the first write that was both sent to and acknowledged by its winner:
-    /// the first acknowledgement after the election.
+    /// Measures, for each lost primary, the time to the next election of its database
+    /// and to the first write acknowledged after the election, which is the first
+    /// write that the winner acknowledged.
     fn measure(world: &World, events: &Events, truth: &[DatabaseTruth]) -> Self {
         let mut gaps = Self::default();
         let start = world.started;
--- a/crates/linkhold/src/demo/world.rs
+++ b/crates/linkhold/src/demo/world.rs
@@ -1,4 +1,4 @@
-//! The system under test: platform, database groups, relays and nodes.
+//! System under test: platform, database groups, relays and nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,30 +14,31 @@
 use tokio::time::Instant;
 
 use super::DemoOptions;
-use super::checker::{DatabaseTruth, RanStatement};
+use super::checker::{DatabaseTruth, ExecutedStatement};
 use super::profile::Sizes;
 use crate::node::Node;
 use crate::platform::{PlatformClient, TableEdit};
 use crate::settings::{Overrides, PeerSettings, Settings, parse};
 
-/// Rows of the table whose whole content is read, to notice partial answers.
-pub const NUMBERS: usize = 50;
-/// Name of the table.
+/// Number of rows of the `numbers` table. Readers read the whole table, to detect
+/// partial answers.
+pub const NUMBER_ROWS: usize = 50;
+/// Name of the table on the platform.
 pub const TABLE_NAME: &str = "linkhold";
 const PEER_KEY: &str = "demo-peer-key-0123456789";
 const TOKEN_KEY: &str = "demo-token-key-0123456789";
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Lag of the replica that is far behind.
-pub const FAR_BEHIND: LagProfile = LagProfile::Fixed(Duration::from_secs(30));
-/// Statement time-out of nodes; short, so that a run meets it.
+/// Lag of a replica that is far behind.
+pub const FAR_BEHIND_LAG: LagProfile = LagProfile::Fixed(Duration::from_secs(30));
+/// Statement timeout of the nodes; short, so that statements reach it during a run.
 const STATEMENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Addresses of the nodes that callers may use, by node.
+/// Addresses at which callers reach the nodes, by node; `None` while a node is down.
 pub type NodeAddresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
 /// A running system.
 pub struct World {
-    /// Sizes in force.
+    /// Sizes of the profile.
     pub sizes: Sizes,
     /// The platform.
     pub platform: Platform,
@@ -47,15 +48,15 @@
     pub nodes: Vec<Option<Node>>,
     /// Relays from each node to each instance of each database.
     pub relays: Vec<Vec<Vec<Relay>>>,
-    /// Addresses for callers.
+    /// Node addresses for callers.
     pub addresses: NodeAddresses,
-    /// When callers start; set by the run.
+    /// Start of the callers; set by the run.
     pub started: std::time::Instant,
     settings: Vec<Settings>,
 }
 
 impl World {
-    /// Starts everything and waits until the table is in force.
+    /// Starts the whole system and waits until the table is in force on all nodes.
     pub async fn start(options: &DemoOptions) -> Result<Self> {
         let sizes = options.profile.sizes();
         let mut groups = Vec::new();
@@ -87,37 +88,37 @@
             started: std::time::Instant::now(),
             settings,
         };
-        world.store_first_table().await?;
+        world.store_initial_table().await?;
         for node in 0..options.nodes {
             world.start_node(node).await?;
         }
         Ok(world)
     }
 
-    /// Name of a database.
+    /// Returns the name of a database.
     pub fn database_name(&self, database: usize) -> &str {
         self.groups[database].name()
     }
 
-    /// Client of the table.
+    /// Returns a client of the platform's table.
     pub fn table_client(&self) -> PlatformClient {
         PlatformClient::new(&self.platform.url(), TABLE_NAME)
     }
 
-    /// Starts a node, or starts it again.
+    /// Starts or restarts a node.
     pub async fn start_node(&mut self, node: usize) -> Result<()> {
         let mut settings = self.settings[node].clone();
         settings.peer = Some(self.peer_settings());
         let running = Node::start(settings).await?;
         tokio::time::timeout(SETTLE_TIMEOUT, running.wait_for_table(1))
             .await
-            .wrap_err("a node did not get the table")?;
+            .wrap_err("a node did not receive the table in time")?;
         self.set_address(node, Some(running.address()));
         self.nodes[node] = Some(running);
         Ok(())
     }
 
-    /// Peer settings of a node that starts now: whoever runs is a seed.
+    /// Returns the peer settings of a node that starts now; all running nodes are seeds.
     fn peer_settings(&self) -> PeerSettings {
         let running = self.nodes.iter().flatten();
         PeerSettings {
@@ -127,13 +128,13 @@
         }
     }
 
-    /// Ends a node at once.
+    /// Crashes a node.
     pub fn crash_node(&mut self, node: usize) {
         self.set_address(node, None);
         self.nodes[node] = None;
     }
 
-    /// Ends a node in order. Callers learn of it from the node itself.
+    /// Stops a node gracefully. The node itself notifies its callers.
     pub async fn stop_node(&mut self, node: usize) {
         if let Some(running) = self.nodes[node].take() {
             self.set_address(node, None);
@@ -145,11 +146,11 @@
         self.addresses.lock().expect("no panic while held")[node] = address;
     }
 
-    /// Lets every group come to rest and returns what it holds.
+    /// Waits until every group is stable and returns its contents and records.
     pub async fn settle(&self) -> Result<Vec<DatabaseTruth>> {
         let mut truth = Vec::new();
         for group in &self.groups {
-            wait_for_rest(group).await?;
+            wait_until_stable(group).await?;
             let rows = group
                 .query_primary("SELECT id FROM publications ORDER BY id")
                 .await
@@ -162,7 +163,7 @@
                 statements: group
                     .records()
                     .into_iter()
-                    .map(|record| RanStatement {
+                    .map(|record| ExecutedStatement {
                         instance: record.instance,
                         connection: record.connection,
                         transaction: record.transaction,
@@ -183,18 +184,18 @@
         Ok(truth)
     }
 
-    async fn store_first_table(&self) -> Result<()> {
+    async fn store_initial_table(&self) -> Result<()> {
         let edit = TableEdit {
             expected_version: 0,
             edit_id: "first".to_owned(),
             author: "demo".to_owned(),
-            body: self.first_table().to_csv(),
+            body: self.initial_table().to_csv(),
         };
         self.table_client().edit(&edit).await?;
         Ok(())
     }
 
-    fn first_table(&self) -> Sheet {
+    fn initial_table(&self) -> Sheet {
         let sizes = &self.sizes;
         let mut rows = Vec::new();
         for group in &self.groups {
@@ -231,7 +232,7 @@
         "CREATE TABLE numbers (number INTEGER PRIMARY KEY)".to_owned(),
         format!(
             "INSERT INTO numbers WITH RECURSIVE c(x) AS \
-             (SELECT 1 UNION ALL SELECT x + 1 FROM c WHERE x < {NUMBERS}) SELECT x FROM c"
+             (SELECT 1 UNION ALL SELECT x + 1 FROM c WHERE x < {NUMBER_ROWS}) SELECT x FROM c"
         ),
         request_key::create_table(),
     ];
@@ -254,7 +255,7 @@
 async fn start_relays(sizes: &Sizes, node: usize, groups: &[Group]) -> Result<Vec<Vec<Relay>>> {
     let mut relays = Vec::new();
     for group in groups {
-        let mut of_group = Vec::new();
+        let mut group_relays = Vec::new();
         for (instance, address) in group.addresses().iter().enumerate() {
             let same_zone = instance % sizes.zones.len() == node % sizes.zones.len();
             let state = RelayState {
@@ -265,9 +266,9 @@
                 },
                 ..RelayState::default()
             };
-            of_group.push(Relay::start(*address, state).await?);
+            group_relays.push(Relay::start(*address, state).await?);
         }
-        relays.push(of_group);
+        relays.push(group_relays);
     }
     Ok(relays)
 }
@@ -289,7 +290,7 @@
         options.nodes,
     );
     let mut settings = parse(&text, &Overrides::new())
-        .map_err(|findings| eyre!("the demo's settings have findings: {findings:?}"))?;
+        .map_err(|findings| eyre!("the demo's settings are invalid: {findings:?}"))?;
     settings.read_policy = options.policy;
     settings.probe_interval = options.probe_interval;
     settings.statement_timeout = STATEMENT_TIMEOUT;
@@ -303,23 +304,23 @@
     Ok(settings)
 }
 
-/// Waits until a primary leads and has nothing left to recover.
-async fn wait_for_rest(group: &Group) -> Result<()> {
+/// Waits until the group has a primary and all instances agree on its term.
+async fn wait_until_stable(group: &Group) -> Result<()> {
     let deadline = Instant::now() + SETTLE_TIMEOUT;
     loop {
         let reports = group.reports();
         let highest = reports.iter().map(|report| report.current_term).max();
-        let led = reports.iter().any(|report| {
+        let has_primary = reports.iter().any(|report| {
             report.is_primary && !report.crashed && Some(report.current_term) == highest
         });
-        let agreed = reports
+        let terms_agree = reports
             .iter()
             .all(|report| Some(report.current_term) == highest);
-        if led && agreed {
+        if has_primary && terms_agree {
             return Ok(());
         }
         if Instant::now() > deadline {
-            bail!("group {} did not come to rest: {reports:?}", group.name());
+            bail!("group {} did not become stable: {reports:?}", group.name());
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/linkhold/tests/checker.rs
+++ b/crates/linkhold/tests/checker.rs
@@ -1,9 +1,12 @@
-//! The checker finds each kind of violation when one is planted, and nothing
-//! in a right history.
+//! The demo's checker reports each kind of violation when a history contains it, and
+//! none in a valid history. Guards against a demo that passes because its checker is
+//! blind to a violation.
 
 use std::time::{Duration, Instant};
 
-use linkhold::demo::checker::{DatabaseTruth, LEAVING_GRACE, RanStatement, ViolationKind, check};
+use linkhold::demo::checker::{
+    DatabaseTruth, ExecutedStatement, LEAVING_GRACE, ViolationKind, check,
+};
 use linkhold::demo::history::{
     Events, LeavingEvent, ReadEvent, ReadOutcome, VersionEvent, WriteEvent, WriteOutcome,
 };
@@ -42,8 +45,8 @@
     }
 }
 
-fn statement(connection: u64, transaction: u64, text: &str) -> RanStatement {
-    RanStatement {
+fn statement(connection: u64, transaction: u64, text: &str) -> ExecutedStatement {
+    ExecutedStatement {
         instance: 0,
         connection,
         transaction,
@@ -52,8 +55,9 @@
     }
 }
 
-/// A right history: two writes, one refused, one unknown, a read.
-fn right() -> (Events, Vec<DatabaseTruth>) {
+/// Returns a valid history: two acknowledged writes, one refused, one unknown, and a
+/// read.
+fn valid_history() -> (Events, Vec<DatabaseTruth>) {
     let events = Events {
         writes: vec![
             write(1, WriteOutcome::Acknowledged),
@@ -93,55 +97,59 @@
     (events, vec![truth])
 }
 
-fn kinds(change: impl FnOnce(&mut Events, &mut DatabaseTruth)) -> Vec<ViolationKind> {
-    let (mut events, mut truth) = right();
+fn violation_kinds(change: impl FnOnce(&mut Events, &mut DatabaseTruth)) -> Vec<ViolationKind> {
+    let (mut events, mut truth) = valid_history();
     change(&mut events, &mut truth[0]);
-    let mut kinds: Vec<ViolationKind> = check(&events, &truth)
+    let mut violation_kinds: Vec<ViolationKind> = check(&events, &truth)
         .iter()
         .map(|violation| violation.kind)
         .collect();
-    kinds.sort();
-    kinds.dedup();
-    kinds
+    violation_kinds.sort();
+    violation_kinds.dedup();
+    violation_kinds
 }
 
 #[test]
-fn a_right_history_has_no_violation() {
-    assert_eq!(kinds(|_, _| {}), []);
+fn a_valid_history_has_no_violation() {
+    assert_eq!(violation_kinds(|_, _| {}), []);
 }
 
 #[test]
 fn a_lost_write_is_found() {
-    let found = kinds(|_, truth| truth.ids.retain(|id| id != "1-3"));
+    let found = violation_kinds(|_, truth| truth.ids.retain(|id| id != "1-3"));
     assert_eq!(found, [ViolationKind::LostWrite]);
 }
 
 #[test]
 fn a_stale_read_is_found() {
-    let found = kinds(|events, _| events.reads.push(read(60, 1)));
+    let found = violation_kinds(|events, _| events.reads.push(read(60, 1)));
     assert_eq!(found, [ViolationKind::StaleRead]);
 }
 
 #[test]
 fn a_read_that_started_before_the_acknowledgement_is_not_stale() {
-    assert_eq!(kinds(|events, _| events.reads.push(read(34, 1))), []);
+    assert_eq!(
+        violation_kinds(|events, _| events.reads.push(read(34, 1))),
+        []
+    );
 }
 
 #[test]
 fn a_write_run_twice_is_found() {
-    let found = kinds(|_, truth| truth.ids.push("1-1".to_owned()));
+    let found = violation_kinds(|_, truth| truth.ids.push("1-1".to_owned()));
     assert_eq!(found, [ViolationKind::DoubleRun]);
 }
 
 #[test]
 fn a_refused_write_that_ran_is_found() {
-    let found = kinds(|_, truth| truth.ids.push("1-2".to_owned()));
+    let found = violation_kinds(|_, truth| truth.ids.push("1-2".to_owned()));
     assert_eq!(found, [ViolationKind::FalseNotRun]);
 }
 
 #[test]
 fn a_completion_that_is_not_there_is_found() {
-    let found = kinds(|events, _| events.writes.push(write(9, WriteOutcome::AlreadyCompleted)));
+    let found =
+        violation_kinds(|events, _| events.writes.push(write(9, WriteOutcome::AlreadyCompleted)));
     assert_eq!(
         found,
         [ViolationKind::FalseCompleted, ViolationKind::StaleRead][..1]
@@ -150,7 +158,7 @@
 
 #[test]
 fn half_a_transaction_is_found() {
-    let found = kinds(|events, _| {
+    let found = violation_kinds(|events, _| {
         events.writes[3].ids.push("1-4-b".to_owned());
     });
     assert_eq!(found, [ViolationKind::PartialTransaction]);
@@ -158,13 +166,13 @@
 
 #[test]
 fn mixed_and_split_transactions_are_found() {
-    let mixed = kinds(|_, truth| {
+    let mixed = violation_kinds(|_, truth| {
         truth
             .statements
             .push(statement(1, 1, "INSERT /* transaction=2-1 */"));
     });
     assert_eq!(mixed, [ViolationKind::MixedTransactions]);
-    let split = kinds(|_, truth| {
+    let split = violation_kinds(|_, truth| {
         truth
             .statements
             .push(statement(7, 9, "INSERT /* transaction=1-1 */"));
@@ -174,26 +182,26 @@
 
 #[test]
 fn wrong_and_partial_answers_are_found() {
-    let wrong = kinds(|events, _| {
+    let wrong = violation_kinds(|events, _| {
         events.reads[0].nonce = "other".to_owned();
     });
     assert_eq!(wrong, [ViolationKind::WrongAnswer]);
-    let partial = kinds(|events, _| events.reads[0].expected_rows = 2);
+    let partial = violation_kinds(|events, _| events.reads[0].expected_rows = 2);
     assert_eq!(partial, [ViolationKind::PartialAnswer]);
 }
 
 #[test]
 fn version_reversals_and_edits_not_in_force_are_found() {
-    let reversed = kinds(|events, _| {
+    let reversed = violation_kinds(|events, _| {
         events.versions.push(VersionEvent {
             node: 0,
             version: 1,
         });
     });
     assert_eq!(reversed, [ViolationKind::VersionReversal]);
-    let missing = kinds(|events, _| events.accepted_edits.push(3));
+    let missing = violation_kinds(|events, _| events.accepted_edits.push(3));
     assert_eq!(missing, [ViolationKind::EditNotInForce]);
-    let lost = kinds(|events, _| events.lost_edits.push("weight".to_owned()));
+    let lost = violation_kinds(|events, _| events.lost_edits.push("weight".to_owned()));
     assert_eq!(lost, [ViolationKind::LostEdit]);
 }
 
@@ -208,16 +216,16 @@
         database: 0,
         instance: 0,
     };
-    let found = kinds(|events, _| events.leaving.push(leaving));
+    let found = violation_kinds(|events, _| events.leaving.push(leaving));
     assert_eq!(found, [ViolationKind::WorkAfterLeaving]);
 }
 
 #[test]
 fn cut_requests_count_only_where_none_is_allowed() {
     let cut = |allowed: bool| {
-        kinds(|events, _| {
+        violation_kinds(|events, _| {
             events.writes.push(write(8, WriteOutcome::Cut));
-            events.no_cut_allowed = !allowed;
+            events.cuts_forbidden = !allowed;
         })
     };
     assert_eq!(cut(true), []);
@@ -226,6 +234,6 @@
 
 #[test]
 fn too_many_connections_are_found() {
-    let found = kinds(|_, truth| truth.most_connections = 41);
+    let found = violation_kinds(|_, truth| truth.most_connections = 41);
     assert_eq!(found, [ViolationKind::ConnectionOverrun]);
 }
--- a/crates/linkhold/tests/fleet.rs
+++ b/crates/linkhold/tests/fleet.rs
@@ -1,4 +1,9 @@
-//! A fleet of real nodes: membership, and the table on every node.
+//! A fleet of real nodes: membership, the distribution of the table, and the
+//! connection limit.
+//!
+//! Guards against nodes that miss an edit while the store is down, deaths and stops
+//! that some node does not detect, packets from outside that change the membership,
+//! and a fleet that together exceeds an instance's connection limit.
 
 mod common;
 
@@ -9,7 +14,7 @@
 const NODES: usize = 8;
 const PEER_KEY: &str = "an-example-peer-key";
 
-/// Settings of a node that joins by the given seed.
+/// Returns the peer settings of a node that joins through this seed.
 fn peer_settings(listen: &str, seed: &str) -> String {
     format!("[peer]\nlisten = \"{listen}\"\nseeds = \"{seed}\"\nkey = \"{PEER_KEY}\"\n")
 }
@@ -26,7 +31,7 @@
     std::iter::once(first).chain(others).collect()
 }
 
-/// State of each member, as a node lists them.
+/// Returns the address and state of each member, as listed by a node.
 async fn members(node: &NodeProcess) -> Vec<(String, String)> {
     let console = connect(&node.address, "linkhold").await;
     let listed = rows(&console, "SHOW NODES").await.expect("is shown");
@@ -41,7 +46,7 @@
     members.iter().filter(|(_, state)| state == "alive").count()
 }
 
-async fn all_alive(nodes: &[NodeProcess]) {
+async fn wait_until_all_alive(nodes: &[NodeProcess]) {
     for node in nodes {
         eventually("all members are alive", || async {
             count_alive(node).await == nodes.len()
@@ -58,7 +63,7 @@
         .map_or(0, |row| row[0].parse().expect("is a number"))
 }
 
-async fn all_have(nodes: &[NodeProcess], wanted: u64) {
+async fn wait_until_all_have(nodes: &[NodeProcess], wanted: u64) {
     for node in nodes {
         eventually("the version is in force", || async {
             version(node).await == wanted
@@ -72,13 +77,13 @@
     let standin = StandIn::start(&["--connect-ms", "0"]);
     let first = standin.put_table(&standin.table(|_, _| {})).await;
     let mut nodes = start_fleet(&standin);
-    all_alive(&nodes).await;
-    all_have(&nodes, first).await;
+    wait_until_all_alive(&nodes).await;
+    wait_until_all_have(&nodes, first).await;
     let edited = standin
         .put_table(&standin.table(|_, row| row.weight = 7))
         .await;
-    // Only a reader can have it from the store; then the store is cut.
-    eventually("one node has read it", || async {
+    // One of the table's readers has the edit from the store; then the store goes down.
+    eventually("one node has read the edit", || async {
         for node in &nodes {
             if version(node).await == edited {
                 return true;
@@ -88,15 +93,15 @@
     })
     .await;
     standin.control("/platform?down=true").await;
-    all_have(&nodes, edited).await;
-    // A node that starts while the store is down learns it from its peers.
-    let mut gone = nodes.pop().expect("there are eight");
-    gone.kill();
-    drop(gone);
+    wait_until_all_have(&nodes, edited).await;
+    // A node that starts while the store is down gets the edit from its peers.
+    let mut stopped = nodes.pop().expect("there are eight");
+    stopped.kill();
+    drop(stopped);
     let seed = nodes[0].peer_address();
     let restarted = start_node(&standin, NODES - 1, &seed);
     nodes.push(restarted);
-    all_have(&nodes, edited).await;
+    wait_until_all_have(&nodes, edited).await;
     let client = connect(&nodes[NODES - 1].address, &standin.database).await;
     assert_eq!(rows(&client, "SELECT 1").await.expect("it serves"), [["1"]]);
 }
@@ -106,7 +111,7 @@
     let standin = StandIn::start(&["--connect-ms", "0"]);
     standin.put_table(&standin.table(|_, _| {})).await;
     let mut nodes = start_fleet(&standin);
-    all_alive(&nodes).await;
+    wait_until_all_alive(&nodes).await;
     let mut killed = nodes.pop().expect("there are eight");
     let killed_address = killed.peer_address();
     killed.kill();
@@ -114,7 +119,7 @@
     let left_address = left.peer_address();
     left.signal("TERM");
     for node in &nodes {
-        eventually("both are known", || async {
+        eventually("the death and the departure are detected", || async {
             let members = members(node).await;
             let state = |address: &String| {
                 let found = members.iter().find(|(known, _)| known == address);
@@ -135,8 +140,8 @@
     let first = start_node(&standin, 0, "");
     let second = start_node(&standin, 1, &first.peer_address());
     let nodes = [first, second];
-    all_alive(&nodes).await;
-    // A stranger with another key is a fleet of its own.
+    wait_until_all_alive(&nodes).await;
+    // A node with another key forms a separate fleet.
     let stranger_settings = peer_settings("127.0.0.1:0", &nodes[0].peer_address())
         .replace(PEER_KEY, "some-other-peer-key");
     let stranger = NodeProcess::start(&standin, "stranger", &stranger_settings);
@@ -148,7 +153,7 @@
             .expect("is sent");
     }
     let console = connect(&nodes[0].address, "linkhold").await;
-    eventually("they are counted", || async {
+    eventually("the malformed packets are counted", || async {
         let stats = rows(&console, "SHOW STATS").await.expect("is shown");
         let dropped = stats.iter().find(|row| row[0] == "peer_messages_dropped");
         dropped.is_some_and(|row| row[1].parse::<u64>().is_ok_and(|count| count >= 7))
@@ -165,7 +170,7 @@
     let first = start_node(&standin, 0, "");
     let second = start_node(&standin, 1, &first.peer_address());
     let nodes = [first, second];
-    all_alive(&nodes).await;
+    wait_until_all_alive(&nodes).await;
     let directory = tempfile::tempdir().expect("can be made");
     let path = directory.path().join("table.csv");
     let edited = format!("# version=1\n{}", standin.table(|_, row| row.weight = 3));
@@ -223,7 +228,9 @@
         }));
     }
     for caller in callers {
-        caller.await.expect("is answered or truthfully refused");
+        caller
+            .await
+            .expect("every statement is answered or refused as not run");
     }
     for report in standin.reports().await {
         let most = report["most_connections"].as_u64().expect("is a number");
