--- a/crates/linkhold/src/benchmark/connections.rs
+++ b/crates/linkhold/src/benchmark/connections.rs
@@ -1,4 +1,4 @@
-//! Memory of a node for each idle client connection.
+//! Memory that a node uses per idle client connection.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,12 +8,12 @@
 use super::process::resident_bytes;
 use super::{Bench, BenchmarkOptions, DATABASE, fast_group};
 
-/// Connections opened before the first reading, so that what is allocated
-/// once does not count.
+/// Connections opened before memory is first measured, so that one-time allocations
+/// do not count.
 const WARM_UP_CONNECTIONS: usize = 200;
 
-/// Opens idle sessions with plain sockets, which take no memory on the
-/// caller's side, and divides the growth of the process by their number.
+/// Opens idle sessions and divides the growth of the process by their number. Uses
+/// plain sockets, which take no memory on the caller's side.
 pub fn run(options: &BenchmarkOptions) -> Result<()> {
     let bench = Bench::start(fast_group(), |_| {})?;
     let address = bench.node_address();
@@ -32,7 +32,7 @@
     Ok(())
 }
 
-/// Starts a session, runs one statement and stays.
+/// Starts a session, runs one statement and leaves the session open.
 fn open_session(address: SocketAddr) -> Result<TcpStream> {
     const PROTOCOL_3_0: u32 = 196_608;
     let mut stream = TcpStream::connect(address)?;
@@ -58,7 +58,10 @@
         stream.read_exact(&mut body)?;
         match header[0] {
             b'Z' => return Ok(()),
-            b'E' => bail!("refused: {}", String::from_utf8_lossy(&body)),
+            b'E' => bail!(
+                "the node refused the session: {}",
+                String::from_utf8_lossy(&body)
+            ),
             _ => {}
         }
     }
--- a/crates/linkhold/src/benchmark/control.rs
+++ b/crates/linkhold/src/benchmark/control.rs
@@ -1,5 +1,5 @@
-//! What a node spends for each database it watches without any load: the
-//! slopes for capacity planning.
+//! Cost of a node per database that it watches, without load, for capacity planning:
+//! the slopes over the number of databases.
 
 use std::time::{Duration, Instant};
 
@@ -14,20 +14,20 @@
 
 const DATABASE_COUNTS: [usize; 3] = [5, 20, 80];
 const SETTLE: Duration = Duration::from_secs(2);
-/// Rows of the table whose parsing is timed: 2,500 databases of three.
+/// Number of databases, of three instances each, in the table whose parsing is timed.
 const LARGE_TABLE_DATABASES: usize = 2_500;
 const INSTANCES: usize = 3;
 const ROW_LIMITS: &str = "*,10,5,40,500,8000,active";
 
-/// Measures the cost of watching databases, and of a large table.
+/// Measures the cost of watching databases and of parsing a large table.
 pub fn run(options: &BenchmarkOptions) -> Result<()> {
     for databases in DATABASE_COUNTS {
-        watch(options, databases)?;
+        measure_watching(options, databases)?;
     }
-    large_table()
+    measure_large_table()
 }
 
-fn watch(options: &BenchmarkOptions, databases: usize) -> Result<()> {
+fn measure_watching(options: &BenchmarkOptions, databases: usize) -> Result<()> {
     let standins = runtime("standin", 2)?;
     let groups = standins.block_on(start_groups(databases))?;
     let csv = table_of(&groups);
@@ -73,7 +73,7 @@
 }
 
 fn table_of(groups: &[Group]) -> String {
-    let mut csv = super::HEADINGS.to_owned();
+    let mut csv = super::TABLE_HEADER.to_owned();
     for group in groups {
         for (index, address) in group.addresses().iter().enumerate() {
             let name = group.name();
@@ -89,9 +89,9 @@
     metrics.probes.load(std::sync::atomic::Ordering::Relaxed)
 }
 
-/// Parses and checks a table of the planned size.
-fn large_table() -> Result<()> {
-    let mut csv = super::HEADINGS.to_owned();
+/// Measures the parsing and checking of a table of the planned size.
+fn measure_large_table() -> Result<()> {
+    let mut csv = super::TABLE_HEADER.to_owned();
     for database in 0..LARGE_TABLE_DATABASES {
         for index in 0..INSTANCES {
             let (high, low) = (database / 250, database % 250);
--- a/crates/linkhold/src/benchmark/mod.rs
+++ b/crates/linkhold/src/benchmark/mod.rs
@@ -1,7 +1,7 @@
-//! Measurements of a node beside the same load without one, in one run.
+//! Benchmarks of a node, compared with the same load without a node in the same run.
 //!
-//! Callers, node and stand-ins run on separate runtimes of one process, so
-//! that the processor time of the node's threads can be read apart.
+//! Callers, node and stand-ins run on separate runtimes of one process, so that the
+//! processor time of the node's threads can be measured separately.
 
 mod connections;
 mod control;
@@ -24,43 +24,43 @@
 use crate::node::Node;
 use crate::settings::{Overrides, Settings, parse};
 
-/// Prefix of the names of the node's threads.
+/// Prefix of the thread names of the node's runtime.
 const NODE_THREADS: &str = "node-worker";
 const NODE_WORKERS: usize = 2;
 const STANDIN_WORKERS: usize = 2;
 const CALLER_WORKERS: usize = 2;
-/// First line of the tables used here.
-const HEADINGS: &str = "group,database,instance,address,zone,hours,weight,slots,connection_limit,read_wait_ms,write_wait_ms,state\n";
-/// Database of the stand-in.
+/// Header line of the benchmarks' tables.
+const TABLE_HEADER: &str = "group,database,instance,address,zone,hours,weight,slots,connection_limit,read_wait_ms,write_wait_ms,state\n";
+/// Name of the stand-in's database.
 pub const DATABASE: &str = "bench";
 const TABLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What to measure.
+/// Options of a benchmark run.
 #[derive(Clone, Debug)]
 pub struct BenchmarkOptions {
-    /// Length of each measurement.
+    /// Duration of each measurement.
     pub duration: Duration,
-    /// Idle connections to open.
+    /// Number of idle connections to open.
     pub idle_connections: usize,
-    /// Which of [`PARTS`] to run.
+    /// Names of the measurements to run, out of [`PARTS`].
     pub parts: Vec<String>,
 }
 
-/// A group and a node on runtimes of their own.
+/// A group, a node and callers, each on a separate runtime.
 pub struct Bench {
     callers: Runtime,
     node_runtime: Runtime,
     standin_runtime: Runtime,
-    /// The group.
+    /// Database group.
     pub group: Group,
-    /// The node, if it runs.
+    /// Node; `None` while it is stopped.
     pub node: Option<Node>,
     settings: Settings,
     _table: table_file::TableFile,
 }
 
 impl Bench {
-    /// Starts a group and a node before it.
+    /// Starts a group and a node in front of it. `adjust` changes the node's settings.
     pub fn start(group_options: GroupOptions, adjust: impl Fn(&mut Settings)) -> Result<Self> {
         let callers = runtime("caller", CALLER_WORKERS)?;
         let node_runtime = runtime(NODE_THREADS, NODE_WORKERS)?;
@@ -82,7 +82,7 @@
         Ok(bench)
     }
 
-    /// Ends the node, if one runs, and starts one with these settings.
+    /// Stops the node, if one runs, and starts a node with these settings.
     fn restart_node(&mut self, settings: Settings) -> Result<()> {
         self.stop_node();
         let node = self.node_runtime.block_on(async {
@@ -99,20 +99,20 @@
         self.node = None;
     }
 
-    /// Address of the node.
+    /// Returns the address of the node.
     pub fn node_address(&self) -> SocketAddr {
         self.node
             .as_ref()
-            .expect("runs until the bench ends")
+            .expect("the node runs until the benchmark ends")
             .address()
     }
 
-    /// Address of the primary, for load without a node.
+    /// Returns the address of the primary, for load without a node.
     pub fn primary_address(&self) -> SocketAddr {
         self.group.addresses()[0]
     }
 
-    /// Runs callers.
+    /// Runs a future on the callers' runtime.
     pub fn block_on<T>(&self, callers: impl Future<Output = T>) -> T {
         self.callers.block_on(callers)
     }
@@ -133,7 +133,8 @@
     Ok(runtime)
 }
 
-/// A group without lag or waits, so that only the node's own cost shows.
+/// Returns options of a group without lag or waits, so that only the node's own cost is
+/// measured.
 pub fn fast_group() -> GroupOptions {
     let schema = vec![
         "CREATE TABLE items (id INTEGER PRIMARY KEY, value TEXT NOT NULL)".to_owned(),
@@ -150,7 +151,7 @@
 }
 
 fn table_of(group: &Group) -> String {
-    let mut csv = HEADINGS.to_owned();
+    let mut csv = TABLE_HEADER.to_owned();
     for (index, address) in group.addresses().iter().enumerate() {
         csv.push_str(&format!(
             "bench,{DATABASE},db{index},{address},zone-{index},*,10,500,600,5000,10000,active\n"
@@ -165,10 +166,11 @@
          token_key = \"bench-token-key-0123\"\n[table]\nfile = \"{}\"\n",
         table.path().display()
     );
-    parse(&text, &Overrides::new()).map_err(|findings| eyre!("settings: {findings:?}"))
+    parse(&text, &Overrides::new())
+        .map_err(|findings| eyre!("the benchmark's settings are invalid: {findings:?}"))
 }
 
-/// Connects a caller; the handle is the connection's own task.
+/// Connects a caller; the handle is that of the connection's task.
 async fn connect(address: SocketAddr) -> Result<(Client, JoinHandle<Result<(), Error>>)> {
     let text = format!(
         "host={} port={} user=bench dbname={DATABASE}",
@@ -189,7 +191,8 @@
     "control",
 ];
 
-/// Runs the named measurements and prints a line for each result.
+/// Runs the named measurements and prints a line for each result. Fails on an unknown
+/// name.
 pub fn run(options: &BenchmarkOptions) -> Result<()> {
     for part in &options.parts {
         match part.as_str() {
@@ -205,15 +208,15 @@
     Ok(())
 }
 
-/// A table file that is removed with its owner.
+/// A table file in the temporary directory.
 mod table_file {
     use std::path::{Path, PathBuf};
 
-    /// The file.
+    /// The file; dropping it removes the file.
     pub struct TableFile(PathBuf);
 
     impl TableFile {
-        /// Writes a file with a name of its own in the temporary directory.
+        /// Writes a file with a unique name in the temporary directory.
         pub fn write(csv: &str) -> std::io::Result<Self> {
             let name = format!(
                 "linkhold-bench-{}-{:x}.csv",
@@ -225,7 +228,7 @@
             Ok(Self(path))
         }
 
-        /// Its path.
+        /// Returns the path of the file.
         pub fn path(&self) -> &Path {
             &self.0
         }
--- a/crates/linkhold/src/benchmark/process.rs
+++ b/crates/linkhold/src/benchmark/process.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-/// Time on a processor of all threads whose name starts with `prefix`.
+/// Returns the total processor time of all threads whose name starts with `prefix`.
 pub fn thread_time(prefix: &str) -> Duration {
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
@@ -20,7 +20,7 @@
     Duration::from_nanos(nanoseconds)
 }
 
-/// Resident memory of the process in bytes.
+/// Returns the resident memory of the process in bytes.
 pub fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/linkhold/src/benchmark/reads.rs
+++ b/crates/linkhold/src/benchmark/reads.rs
@@ -1,5 +1,5 @@
-//! Replica share of reads: fences, tokens and the two baselines, under the
-//! same load and lag, with one replica of each database far behind.
+//! Fraction of reads that replicas serve: fences, tokens and the two baselines, under
+//! the same load and lag, with one replica of each database far behind.
 
 use eyre::Result;
 
@@ -11,18 +11,18 @@
 const SEED: u64 = 1;
 const PROBE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// Policy, and whether callers present tokens.
-const WAYS: [(ReadPolicy, bool); 4] = [
+/// Read policy, and whether callers present tokens.
+const VARIANTS: [(ReadPolicy, bool); 4] = [
     (ReadPolicy::Fence, false),
     (ReadPolicy::Fence, true),
     (ReadPolicy::PinAfterWrite, false),
     (ReadPolicy::PrimaryOnly, false),
 ];
 
-/// Runs the first user's load each way.
+/// Runs the first user's load with each variant.
 pub fn run(options: &BenchmarkOptions) -> Result<()> {
     let runtime = super::runtime("reads", num_workers())?;
-    for (policy, tokens) in WAYS {
+    for (policy, tokens) in VARIANTS {
         let report = runtime.block_on(run_demo(&DemoOptions {
             profile: Profile::SadaaWaves,
             duration: options.duration,
--- a/crates/linkhold/src/benchmark/statements.rs
+++ b/crates/linkhold/src/benchmark/statements.rs
@@ -1,4 +1,4 @@
-//! Small reads: direct to the stand-in, and through a node.
+//! Small reads, directly at the stand-in and through a node.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,15 +13,16 @@
 const WARM_UP: Duration = Duration::from_millis(300);
 const QUERY: &str = "SELECT value FROM items WHERE id = 1";
 
-/// How callers present themselves.
+/// How callers access the database: directly, or through a node with tokens or
+/// fences.
 #[derive(Clone, Copy)]
-enum Way {
+enum AccessMode {
     Direct,
     Token,
     Fence,
 }
 
-impl Way {
+impl AccessMode {
     fn name(self) -> &'static str {
         match self {
             Self::Direct => "direct",
@@ -31,39 +32,44 @@
     }
 }
 
-/// What one measurement gave.
-struct Measured {
+/// Results of one measurement.
+struct Measurement {
     per_second: f64,
     p50_us: f64,
     p99_us: f64,
     node_us: f64,
 }
 
-/// Measures each way at each number of connections.
+/// Measures each access mode with each number of connections.
 pub fn run(options: &BenchmarkOptions) -> Result<()> {
     let bench = Bench::start(fast_group(), |_| {})?;
     for connections in CONNECTION_COUNTS {
-        let direct = measure(&bench, options, connections, Way::Direct)?;
-        print(connections, Way::Direct, &direct, &direct);
-        for way in [Way::Token, Way::Fence] {
-            let through = measure(&bench, options, connections, way)?;
-            print(connections, way, &through, &direct);
+        let direct = measure(&bench, options, connections, AccessMode::Direct)?;
+        print_result(connections, AccessMode::Direct, &direct, &direct);
+        for mode in [AccessMode::Token, AccessMode::Fence] {
+            let through = measure(&bench, options, connections, mode)?;
+            print_result(connections, mode, &through, &direct);
         }
     }
     Ok(())
 }
 
-fn print(connections: usize, way: Way, measured: &Measured, direct: &Measured) {
+fn print_result(
+    connections: usize,
+    mode: AccessMode,
+    measurement: &Measurement,
+    direct: &Measurement,
+) {
     println!(
         "bench=statements connections={connections} way={} per_second={:.0} p50_us={:.0} \
          p99_us={:.0} node_cpu_us_per_statement={:.1} rate_ratio={:.2} added_p50_us={:.0}",
-        way.name(),
-        measured.per_second,
-        measured.p50_us,
-        measured.p99_us,
-        measured.node_us,
-        measured.per_second / direct.per_second,
-        measured.p50_us - direct.p50_us,
+        mode.name(),
+        measurement.per_second,
+        measurement.p50_us,
+        measurement.p99_us,
+        measurement.node_us,
+        measurement.per_second / direct.per_second,
+        measurement.p50_us - direct.p50_us,
     );
 }
 
@@ -71,20 +77,20 @@
     bench: &Bench,
     options: &BenchmarkOptions,
     connections: usize,
-    way: Way,
-) -> Result<Measured> {
-    let address = match way {
-        Way::Direct => bench.primary_address(),
-        Way::Token | Way::Fence => bench.node_address(),
+    mode: AccessMode,
+) -> Result<Measurement> {
+    let address = match mode {
+        AccessMode::Direct => bench.primary_address(),
+        AccessMode::Token | AccessMode::Fence => bench.node_address(),
     };
-    bench.block_on(run_callers(address, connections, WARM_UP, way))?;
+    bench.block_on(run_callers(address, connections, WARM_UP, mode))?;
     let before = thread_time(NODE_THREADS);
     let start = Instant::now();
-    let latencies = bench.block_on(run_callers(address, connections, options.duration, way))?;
+    let latencies = bench.block_on(run_callers(address, connections, options.duration, mode))?;
     let elapsed = start.elapsed();
     let node_time = thread_time(NODE_THREADS).saturating_sub(before);
     let count = latencies.len().max(1) as f64;
-    Ok(Measured {
+    Ok(Measurement {
         per_second: count / elapsed.as_secs_f64(),
         p50_us: latencies.value_at_quantile(0.5) as f64 / 1_000.0,
         p99_us: latencies.value_at_quantile(0.99) as f64 / 1_000.0,
@@ -92,16 +98,16 @@
     })
 }
 
-/// Latencies in nanoseconds.
+/// Returns the latencies of all callers in nanoseconds.
 async fn run_callers(
     address: SocketAddr,
     connections: usize,
     duration: Duration,
-    way: Way,
+    mode: AccessMode,
 ) -> Result<Histogram<u64>> {
     let deadline = Instant::now() + duration;
     let tasks: Vec<_> = (0..connections)
-        .map(|_| tokio::spawn(run_caller(address, deadline, way)))
+        .map(|_| tokio::spawn(run_caller(address, deadline, mode)))
         .collect();
     let mut all = Histogram::new(3)?;
     for task in tasks {
@@ -110,9 +116,13 @@
     Ok(all)
 }
 
-async fn run_caller(address: SocketAddr, deadline: Instant, way: Way) -> Result<Histogram<u64>> {
+async fn run_caller(
+    address: SocketAddr,
+    deadline: Instant,
+    mode: AccessMode,
+) -> Result<Histogram<u64>> {
     let (client, connection) = connect(address).await?;
-    if matches!(way, Way::Token) {
+    if matches!(mode, AccessMode::Token) {
         client.batch_execute("SET linkhold.token = ''").await?;
     }
     let statement = client.prepare(QUERY).await?;
--- a/crates/linkhold/src/benchmark/writes.rs
+++ b/crates/linkhold/src/benchmark/writes.rs
@@ -1,5 +1,5 @@
-//! Cost of the acknowledgement rule: writes at the brief's zone latencies,
-//! with what the group itself promises, and with the node's own rounds.
+//! Cost of the acknowledgement rule: writes at the first user's zone latency, with the
+//! group's own commit promise and with the node's verification rounds.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,19 +12,20 @@
 use super::{Bench, BenchmarkOptions, connect, fast_group};
 
 const WRITER_COUNTS: [usize; 3] = [1, 16, 256];
-/// One-way latency between zones of the first user.
+/// One-way latency between the first user's zones.
 const ZONE_LATENCY: Duration = Duration::from_micros(1_500);
 
-/// How a write is acknowledged.
+/// Rule by which a write is acknowledged.
 #[derive(Clone, Copy)]
 enum Rule {
-    /// Without a node: as soon as the primary answers.
+    /// Without a node: acknowledged once the primary answers.
     Direct,
-    /// A majority holds the position; rounds are shared.
+    /// A majority holds the write's log position; writes share rounds.
     Position,
-    /// A majority follows the term; the group promises the rest.
+    /// A majority follows the term; the group itself promises that a majority holds
+    /// the write.
     TermOnly,
-    /// As `Position`, with a round of its own for each write.
+    /// As `Position`, with a separate round for each write.
     Unshared,
 }
 
@@ -60,7 +61,7 @@
         }
         settings.share_rounds = !matches!(rule, Rule::Unshared);
     })?;
-    let relays = bench.put_behind_relays(ZONE_LATENCY)?;
+    let relays = bench.restart_behind_relays(ZONE_LATENCY)?;
     let address = match rule {
         Rule::Direct => relays[0].address(),
         _ => bench.node_address(),
@@ -76,7 +77,7 @@
     Ok(())
 }
 
-/// Latencies in microseconds.
+/// Returns the latencies of all writers in microseconds.
 async fn run_writers(
     address: SocketAddr,
     writers: usize,
@@ -116,8 +117,8 @@
 }
 
 impl Bench {
-    /// Restarts the node behind relays with this one-way delay.
-    fn put_behind_relays(&mut self, one_way_delay: Duration) -> Result<Vec<Relay>> {
+    /// Restarts the node with a relay of this one-way delay in front of each instance.
+    fn restart_behind_relays(&mut self, one_way_delay: Duration) -> Result<Vec<Relay>> {
         let state = RelayState {
             one_way_delay,
             ..RelayState::default()
--- a/crates/linkhold/tests/command_line.rs
+++ b/crates/linkhold/tests/command_line.rs
@@ -1,4 +1,7 @@
-//! The command line: findings, exit codes, and edits of the table.
+//! The command line: findings, exit codes and edits of the table.
+//!
+//! Guards against settings and tables whose faults are reported one at a time or not
+//! at all, lost or overwritten edits, and log values that forge a line or a key.
 
 mod common;
 
@@ -16,7 +19,7 @@
         .expect("the program was built")
 }
 
-/// Runs the program without blocking the test's own tasks.
+/// Runs the program without blocking the tasks of the test.
 async fn linkhold_async(arguments: &[&str]) -> Output {
     let arguments: Vec<String> = arguments.iter().map(|text| (*text).to_owned()).collect();
     let run = move || {
@@ -125,7 +128,8 @@
     let other_weight = edit("other.csv", ",*,10,", ",*,30,");
     let first = linkhold_async(&["table", "apply", "--platform", platform, &weight]).await;
     assert!(text(&first.stdout).starts_with("version=2 "));
-    // Its answer is lost after it took effect: resolved by reading back.
+    // The answer is lost after the edit took effect; the program finds out by reading
+    // the table back.
     standin.control("/platform?lose_edit_answers=1").await;
     let second = linkhold_async(&["table", "apply", "--platform", platform, &slots]).await;
     assert!(
@@ -148,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn status_tells_the_version_in_force() {
+async fn status_shows_the_version_in_force() {
     let standin = StandIn::start(&[]);
     standin.put_table(&standin.table(|_, _| {})).await;
     let node = NodeProcess::start(&standin, "node-1", "");
@@ -172,8 +176,8 @@
     let output = linkhold_async(&["status", "--node", &node.address]).await;
     assert_eq!(output.status.code(), Some(0));
     assert!(text(&output.stdout).contains("listing=groups database=catalog-1"));
-    let nobody = linkhold_async(&["status", "--node", "127.0.0.1:1"]).await;
-    assert_eq!(nobody.status.code(), Some(1));
+    let without_node = linkhold_async(&["status", "--node", "127.0.0.1:1"]).await;
+    assert_eq!(without_node.status.code(), Some(1));
 }
 
 #[tokio::test]
@@ -191,16 +195,16 @@
         .expect("is after 1970")
         .as_secs();
     let hour = now / SECONDS_PER_HOUR % HOURS_PER_DAY;
-    // Rehearsed at 06:30 and 18:30, far from the change.
-    for (rehearsed, replica) in [(6, 1), (18, 2)] {
-        let offset = (i64::try_from(rehearsed * SECONDS_PER_HOUR).expect("is small"))
+    // Simulated at 06:30 and 18:30, far from the change.
+    for (simulated_hour, replica) in [(6, 1), (18, 2)] {
+        let offset = (i64::try_from(simulated_hour * SECONDS_PER_HOUR).expect("is small"))
             - i64::try_from(hour * SECONDS_PER_HOUR).expect("is small");
         let settings = format!("hour_offset_seconds = {offset}");
         let node = NodeProcess::start(&standin, "node-1", &settings);
         let client = connect(&node.address, &standin.database).await;
-        // A node that has just started reads at the primary until it has heard of the
+        // A node that has just started reads at the primary until it has a status of the
         // replica, and never at the replica of the other half of the day.
-        let first = format!("SELECT title FROM episodes WHERE id = 'first-{rehearsed}'");
+        let first = format!("SELECT title FROM episodes WHERE id = 'first-{simulated_hour}'");
         eventually("the replica is known", || async {
             rows(&client, &first).await.expect("is read");
             instances_used(&standin, &first).await.contains(&replica)
@@ -208,16 +212,16 @@
         .await;
         let other = 3 - replica;
         assert!(!instances_used(&standin, &first).await.contains(&other));
-        let query = format!("SELECT title FROM episodes WHERE id = '{rehearsed}'");
+        let query = format!("SELECT title FROM episodes WHERE id = '{simulated_hour}'");
         for _ in 0..READS {
             rows(&client, &query).await.expect("is read");
         }
         let used = instances_used(&standin, &query).await;
-        assert_eq!(used, vec![replica; READS], "at {rehearsed}");
+        assert_eq!(used, vec![replica; READS], "at {simulated_hour}");
     }
 }
 
-/// The instances that ran a query, in the order in which they did.
+/// Returns the instances that ran a query, in the order of execution.
 async fn instances_used(standin: &StandIn, query: &str) -> Vec<u64> {
     let records = standin.records().await;
     let of_query = records.iter().filter(|record| record["text"] == query);
