--- a/crates/linkhold/src/session/plan.rs
+++ b/crates/linkhold/src/session/plan.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 use bytes::{Bytes, BytesMut};
-use linkhold_wire::frontend::{Named, Target, put_flush, put_sync};
+use linkhold_wire::frontend::{DescribeOrClose, Target, put_flush, put_sync};
 use linkhold_wire::{kind, reply};
 
 use super::state::PreparedStatement;
@@ -266,7 +266,7 @@
             return;
         };
         self.connection.prepared.remove(&oldest);
-        let named = Named {
+        let named = DescribeOrClose {
             target: Target::Statement,
             name: oldest,
         };
@@ -274,7 +274,7 @@
         self.push(PlannedReply::Discard { prepares: None });
     }
 
-    fn add_close(&mut self, named: &Named) {
+    fn add_close(&mut self, named: &DescribeOrClose) {
         match named.target {
             // Statements stay prepared on the back end for other sessions.
             Target::Statement => {
