--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -151,10 +151,10 @@
         &self,
         instance: &Instance,
         regions: &AllowedRegions,
-        engagement: StatementBinding,
+        binding: StatementBinding,
     ) -> Result<(), Ineligible> {
         let instances = lock(&self.instances);
-        self.eligibility_in(&instances, instance, regions, engagement)
+        self.eligibility_in(&instances, instance, regions, binding)
     }
 
     pub(super) fn eligibility_in(
@@ -162,15 +162,15 @@
         instances: &KnownInstances,
         instance: &Instance,
         regions: &AllowedRegions,
-        engagement: StatementBinding,
+        binding: StatementBinding,
     ) -> Result<(), Ineligible> {
         let zone = instances.evacuations.state(&instance.zone, Instant::now());
-        let standing = EligibilityFacts {
+        let facts = EligibilityFacts {
             is_in_regions: !regions.is_restricted()
                 || regions.permits(&self.zone_map.region(&instance.zone)),
             zone,
         };
-        eligibility::check(standing, engagement)
+        eligibility::check(facts, binding)
     }
 
     /// Why no instance of a service may run a request that is bound to these regions,
