--- a/crates/linkhold-core/tests/service_evidence.rs
+++ b/crates/linkhold-core/tests/service_evidence.rs
@@ -31,24 +31,24 @@
     prop::collection::vec(step, 1..120)
 }
 
-/// A service's log with the time at which each commit was acknowledged.
+/// A service with its log and the time at which each commit was acknowledged.
 struct Model {
     start: Instant,
     now: Duration,
     term: u64,
-    standing: Vec<(Position, Duration)>,
+    log: Vec<(Position, Duration)>,
 }
 
 impl Model {
     fn position(&self) -> Position {
-        self.standing
+        self.log
             .last()
             .map_or(Position::new(self.term, 0), |(position, _)| *position)
     }
 
     fn commit(&mut self) {
-        let position = Position::new(self.term, self.standing.len() as u64 + 1);
-        self.standing.push((position, self.now));
+        let position = Position::new(self.term, self.log.len() as u64 + 1);
+        self.log.push((position, self.now));
     }
 
     fn observe(&mut self, evidence: &mut EvidenceLog, answered_after: u64, commits: u64) {
@@ -71,7 +71,7 @@
         staleness in 0_u64..2_000,
     ) {
         let start = Instant::now() + Duration::from_secs(3_600);
-        let mut model = Model { start, now: Duration::ZERO, term: 1, standing: Vec::new() };
+        let mut model = Model { start, now: Duration::ZERO, term: 1, log: Vec::new() };
         let mut evidence = EvidenceLog::default();
         for step in steps {
             match step {
@@ -81,8 +81,8 @@
                     model.observe(&mut evidence, answered_after, commits);
                 }
                 Step::Replace { undone } => {
-                    let kept = model.standing.len().saturating_sub(undone as usize);
-                    model.standing.truncate(kept);
+                    let kept = model.log.len().saturating_sub(undone as usize);
+                    model.log.truncate(kept);
                     model.term += 1;
                     // A new primary writes an entry at the start of its term.
                     model.commit();
@@ -92,7 +92,7 @@
             let Some(oldest) = model.now.checked_sub(staleness) else { continue };
             if let Some(fence) = evidence.fence(start + oldest) {
                 let missed = model
-                    .standing
+                    .log
                     .iter()
                     .find(|(position, at)| *at < oldest && *position > fence);
                 prop_assert_eq!(missed, None, "fence {} at {:?}", fence, model.now);
