--- a/crates/linkhold-core/tests/service_owners.rs
+++ b/crates/linkhold-core/tests/service_owners.rs
@@ -44,8 +44,8 @@
     let owners = chosen(&all, "one");
     let first = |node: &NodeId| owners::preference(*node, &owners)[0];
     for owner in &owners {
-        let askers = all.iter().filter(|node| first(node) == *owner).count();
-        assert!(askers > 8, "{askers}");
+        let preferring = all.iter().filter(|node| first(node) == *owner).count();
+        assert!(preferring > 8, "{preferring}");
     }
 }
 
