--- a/crates/linkhold-gateway/src/failover/ready_leases.rs
+++ b/crates/linkhold-gateway/src/failover/advance_claims.rs
@@ -1,5 +1,5 @@
-//! Holds leases ready, so that a promotion does not need the store where the authority
-//! itself refuses old tokens.
+//! Claims leases in advance, so that a promotion does not need the store where the
+//! authority itself refuses old tokens.
 //!
 //! The nodes that read the store divide the services among them. Each reads all leases
 //! in one call and writes its own in batches, so that the number of calls does not grow
@@ -22,7 +22,7 @@
 use crate::ports::{FleetTable, Platform, RowRange, RowWrite, StoreError, WriteResult};
 use crate::store_call::{CALL_TIMEOUT, CallReason, READ_TIMEOUT, with_timeout};
 
-/// How often a node checks for leases that it is to hold ready.
+/// How often a node checks for leases to claim in advance.
 const CHECK_INTERVAL: Duration = Duration::from_millis(3_000);
 /// How long other nodes' leases are not read again: a lease whose holder has left the
 /// fleet is needed only while the store is unavailable.
@@ -31,9 +31,9 @@
 /// call, and a row with its condition takes two.
 const MAX_BATCH: usize = 50;
 
-/// Holds the leases ready of the services for which this node is first in rank. Runs
-/// until the process ends.
-pub(crate) async fn hold_leases_ready<P: Platform>(gateway: Arc<Gateway<P>>) {
+/// Claims in advance the leases of the services for which this node is first in rank.
+/// Runs until the process ends.
+pub(crate) async fn claim_leases_in_advance<P: Platform>(gateway: Arc<Gateway<P>>) {
     let mut reviewed: Option<Review> = None;
     loop {
         sleep(CHECK_INTERVAL.mul_f64(rand::random_range(0.8..1.2))).await;
@@ -43,7 +43,7 @@
             continue;
         }
         // If the store is unavailable, the next round tries again.
-        if hold_ready(&gateway, &wanted).await.is_ok() {
+        if claim_wanted(&gateway, &wanted).await.is_ok() {
             reviewed = Some(Review {
                 services: wanted,
                 at: Instant::now(),
@@ -84,8 +84,8 @@
     version: StoreRevision,
 }
 
-/// Takes the wanted leases that are free, in batches.
-async fn hold_ready<P: Platform>(
+/// Claims the wanted leases that are free, in batches.
+async fn claim_wanted<P: Platform>(
     gateway: &Gateway<P>,
     wanted: &BTreeSet<ServiceName>,
 ) -> Result<(), StoreError> {
--- a/crates/linkhold-gateway/src/failover/lease.rs
+++ b/crates/linkhold-gateway/src/failover/lease.rs
@@ -207,10 +207,10 @@
     Ok(written.then_some(lease))
 }
 
-/// Reads the leases that were claimed recently. Leases that are only held ready are
-/// left out: with 1,000 services they were 0.3 MB for each group of nodes that began to
-/// follow a reader, and most of the 0.33 GB read on a day on which the store refused a
-/// third of 985 nodes.
+/// Reads the leases that were claimed recently. Leases that are only claimed in advance
+/// are left out: with 1,000 services they were 0.3 MB for each group of nodes that began
+/// to follow a reader, and most of the 0.33 GB read on a day on which the store refused
+/// a third of 985 nodes.
 pub(crate) async fn recent_claims<P: Platform>(
     gateway: &Gateway<P>,
 ) -> Result<KnownClaims, StoreError> {
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -5,12 +5,12 @@
 //! node asks. A lease in the metadata store decides which node acts; the rendezvous
 //! rank of a node only spreads their tries.
 
+mod advance_claims;
 mod diagnosis;
 mod lease;
 mod misplaced;
 mod order;
 mod promotion;
-mod ready_leases;
 mod recorder;
 
 use std::collections::HashSet;
@@ -30,8 +30,8 @@
 use misplaced::MisplacedPrimaries;
 use promotion::replace;
 
+pub(crate) use advance_claims::claim_leases_in_advance;
 pub(crate) use lease::{read_promotion_record, recent_claims};
-pub(crate) use ready_leases::hold_leases_ready;
 pub(crate) use recorder::update_promotion_records;
 
 /// How often services are checked for leaving primaries.
--- a/crates/linkhold-gateway/src/lib.rs
+++ b/crates/linkhold-gateway/src/lib.rs
@@ -65,7 +65,7 @@
     tokio::spawn(feed::serve_peers(gateway.clone()));
     tokio::spawn(sources::choose_source(gateway.clone()));
     tokio::spawn(failover::watch_primaries(gateway.clone()));
-    tokio::spawn(failover::hold_leases_ready(gateway.clone()));
+    tokio::spawn(failover::claim_leases_in_advance(gateway.clone()));
     tokio::spawn(failover::update_promotion_records(gateway.clone()));
     tokio::spawn(warm_up::watch_instances(gateway.clone()));
 }
