--- a/crates/linkhold-core/src/service/connection_share.rs
+++ b/crates/linkhold-core/src/service/connection_share.rs
@@ -38,7 +38,7 @@
 }
 
 /// Whether so many nodes share a limit that not each of them can keep connections open.
-pub fn is_crowded(limit: usize, nodes: usize) -> bool {
+pub fn needs_owners(limit: usize, nodes: usize) -> bool {
     shared(limit) / nodes.max(1) < MIN_USEFUL
 }
 
--- a/crates/linkhold-core/tests/service_placement.rs
+++ b/crates/linkhold-core/tests/service_placement.rs
@@ -122,10 +122,10 @@
 
 #[test]
 fn connections_are_held_ready_only_while_every_node_gets_a_useful_share() {
-    assert!(!connection_share::is_crowded(36, 7));
-    assert!(!connection_share::is_crowded(50, 15));
-    assert!(connection_share::is_crowded(50, 16));
-    assert!(connection_share::is_crowded(36, 300));
+    assert!(!connection_share::needs_owners(36, 7));
+    assert!(!connection_share::needs_owners(50, 15));
+    assert!(connection_share::needs_owners(50, 16));
+    assert!(connection_share::needs_owners(36, 300));
     let steady = connection_share::equal(36, 7, false);
     assert_eq!((steady.limit, steady.idle_for), (3, None));
     assert_eq!(connection_share::equal(36, 7, true).limit, 2);
--- a/crates/linkhold-gateway/src/pools.rs
+++ b/crates/linkhold-gateway/src/pools.rs
@@ -28,7 +28,7 @@
     started_at: Instant,
     /// Whether few nodes own the connections to some instance, so that unused ones are
     /// closed.
-    is_crowded: AtomicBool,
+    closes_unused: AtomicBool,
 }
 
 /// How long connections of this node's previous incarnation may stay open: an instance
@@ -44,7 +44,7 @@
             nodes: AtomicUsize::new(ASSUMED_NODES),
             owners: Owners::new(own, settings.zone_map.clone()),
             started_at: Instant::now(),
-            is_crowded: AtomicBool::new(false),
+            closes_unused: AtomicBool::new(false),
         }
     }
 
@@ -71,7 +71,7 @@
         let nodes = self.nodes.load(Ordering::Relaxed);
         // Only owners know whether an instance is warm.
         let has_warm_up = limits.is_some_and(|limits| limits.warm_up.is_some());
-        if !has_warm_up && !connection_share::is_crowded(limit, nodes) {
+        if !has_warm_up && !connection_share::needs_owners(limit, nodes) {
             return None;
         }
         let owners = self.owners.of(instance);
@@ -90,7 +90,7 @@
             let has_just_started = self.started_at.elapsed() < PREVIOUS_CONNECTIONS_TIME;
             return connection_share::equal(limit, nodes, has_just_started);
         };
-        self.is_crowded.store(true, Ordering::Relaxed);
+        self.closes_unused.store(true, Ordering::Relaxed);
         if owners.includes_self {
             connection_share::of_owner(limit, owners.count)
         } else {
@@ -107,7 +107,7 @@
     /// Recomputes all shares: limits may have changed, or the node may no longer count
     /// as just started.
     pub fn refresh_shares(&self, cluster: &ClusterState) {
-        self.is_crowded.store(false, Ordering::Relaxed);
+        self.closes_unused.store(false, Ordering::Relaxed);
         let pools: Vec<Arc<Pool<C>>> = lock(&self.pools).values().cloned().collect();
         for pool in pools {
             pool.set_share(self.share(pool.instance(), cluster));
@@ -130,8 +130,8 @@
     }
 
     /// Whether unused connections are to be closed.
-    pub fn is_crowded(&self) -> bool {
-        self.is_crowded.load(Ordering::Relaxed)
+    pub fn closes_unused(&self) -> bool {
+        self.closes_unused.load(Ordering::Relaxed)
     }
 
     /// Closes connections that have not been used for a while, except for those that
--- a/crates/linkhold-gateway/src/refresh.rs
+++ b/crates/linkhold-gateway/src/refresh.rs
@@ -237,7 +237,7 @@
 /// the process ends.
 pub async fn close_unused_connections<P: Platform>(gateway: Arc<Gateway<P>>) {
     loop {
-        if gateway.pools.is_crowded() {
+        if gateway.pools.closes_unused() {
             sleep(UNUSED_CHECK_INTERVAL).await;
             gateway.pools.close_unused();
         } else {
