--- a/crates/linkhold-standin/src/relay.rs
+++ b/crates/linkhold-standin/src/relay.rs
@@ -78,9 +78,9 @@
         self.state.send_modify(|state| state.link = link);
     }
 
-    /// Has all connections that stand fall silent for good, without a reset. New ones
+    /// Makes all open connections fall silent for good, without a reset. New ones
     /// work.
-    pub fn silence_standing(&self) {
+    pub fn silence_open_connections(&self) {
         self.state.send_modify(|state| state.silences += 1);
     }
 
