--- a/crates/linkhold-core/src/service/configuration.rs
+++ b/crates/linkhold-core/src/service/configuration.rs
@@ -70,7 +70,7 @@
     pub services: HashMap<ServiceName, ServiceLimits>,
     /// How long a transaction may stay idle; `None` is unlimited.
     pub transaction_idle_timeout: Option<Duration>,
-    /// The tenants; `None` where callers are not told apart.
+    /// The tenants; `None` where callers are not distinguished.
     pub tenancy: Option<Tenancy>,
 }
 
--- a/crates/linkhold-core/src/service/warm_up.rs
+++ b/crates/linkhold-core/src/service/warm_up.rs
@@ -14,7 +14,7 @@
 //!   settling time ago, and has seen the instance listed as of a later moment
 //!   ([`Warmth::record_listing`]): an instance that was listed then had written its
 //!   entry in between, so the entry is that of the incarnation to which the connection
-//!   leads. That connection has answered a question sent after the last doubt and
+//!   is open. That connection has answered a question sent after the last doubt and
 //!   within [`ANSWER_VALIDITY`]. The connection on which the owner sends was opened
 //!   before that question was sent: a restart since then would have broken it as well.
 //! * What one node counts in any second is at most its share, and the shares of all
@@ -149,7 +149,7 @@
 
     /// Records whether the instance was listed as of a moment. An entry that existed
     /// for the settling time after the connection was opened is that of the incarnation
-    /// to which the connection leads; that holds while the connection is open.
+    /// to which the connection was opened; that holds while the connection is open.
     pub fn record_listing(&mut self, rules: &WarmUpRules, is_listed: bool, as_of: Option<Instant>) {
         if let Some(watch) = &mut self.watch {
             let settled_at = watch.opened_at + rules.settling_time();
@@ -158,7 +158,7 @@
     }
 
     /// Whether the entry is known to be that of the incarnation to which the connection
-    /// leads.
+    /// is open.
     pub fn is_incarnation_listed(&self) -> bool {
         self.watch.is_some_and(|watch| watch.is_incarnation_listed)
     }
--- a/crates/linkhold-core/tests/table_spread.rs
+++ b/crates/linkhold-core/tests/table_spread.rs
@@ -1,6 +1,6 @@
 //! Distribution of the table between nodes. Guards against a version that decreases
 //! when responses are delayed or repeated, against damaged copies that are put in
-//! force, and against changes that lead to another table than the whole copy.
+//! force, and against changes that result in another table than the whole copy.
 
 use std::time::Duration;
 
--- a/crates/linkhold-gateway/src/failover/recorder.rs
+++ b/crates/linkhold-gateway/src/failover/recorder.rs
@@ -1,9 +1,9 @@
 //! Stores the newest term in which each service's log was proved to end.
 //!
 //! A node that starts knows nothing of earlier promotions. From the claims of the lease
-//! it learns of those that were ordered with the store. A promotion on a lease held
-//! ready, or one that the store lost when it was restored from an older copy, would be
-//! forgotten once all nodes that saw it have ended.
+//! it learns of those that were ordered with the store. A promotion on a lease claimed
+//! in advance, or one that the store lost when it was restored from an older copy, would
+//! be forgotten once all nodes that saw it have ended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/linkhold-gateway/src/pool/mod.rs
+++ b/crates/linkhold-gateway/src/pool/mod.rs
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The instance that the connections lead to.
+    /// The instance to which the connections are open.
     pub fn instance(&self) -> &Arc<Instance> {
         &self.instance
     }
--- a/crates/linkhold-gateway/src/pool/pooled.rs
+++ b/crates/linkhold-gateway/src/pool/pooled.rs
@@ -15,7 +15,7 @@
     pub state: ConnectionState,
     /// Whether a transaction of the last user is still to be rolled back.
     pub needs_rollback: bool,
-    /// Limits of a relayed connection; `None` if it leads directly to the instance.
+    /// Limits of a relayed connection; `None` for a direct connection to the instance.
     pub(super) relayed: Option<Relayed>,
     /// When it was last given back.
     pub(super) given_back_at: Instant,
--- a/crates/linkhold-gateway/src/ports/backend.rs
+++ b/crates/linkhold-gateway/src/ports/backend.rs
@@ -176,7 +176,7 @@
         instance: &Instance,
         holder: &ConnectionHolder,
     ) -> impl Future<Output = Result<Self::Connection, ConnectError>> + Send;
-    /// As [`Self::connect`], over a stream that leads to the instance's address.
+    /// Like [`Self::connect`], over a stream that ends at the instance's address.
     fn connect_over(
         &self,
         stream: TcpStream,
