--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -201,24 +201,25 @@
         bound.get(service).cloned().unwrap_or_default()
     }
 
-    /// Whether an instance stands where a primary of its service should.
+    /// Whether an instance is where a primary of its service should be: in an allowed
+    /// region, and in a zone that is not evacuated.
     pub fn is_well_placed(&self, instance: &Instance) -> bool {
         let regions = self.primary_regions(&instance.service);
         self.eligibility(instance, &regions, StatementBinding::Unbound)
             .is_ok()
     }
 
-    /// Whether the primary of a service stands where it should not while an instance
-    /// that is not leaving stands where it should.
+    /// Whether the primary of a service is not well placed while an instance that is not
+    /// leaving is.
     pub fn is_primary_misplaced(&self, service: &str) -> bool {
         let Some(primary) = self.primary(service) else {
             return false;
         };
-        !self.is_well_placed(&primary) && self.has_place_for_primary(service)
+        !self.is_well_placed(&primary) && self.has_well_placed_instance(service)
     }
 
-    /// Whether an instance that is not leaving stands where the primary should.
-    pub fn has_place_for_primary(&self, service: &str) -> bool {
+    /// Whether a service has a well-placed instance that is not leaving.
+    pub fn has_well_placed_instance(&self, service: &str) -> bool {
         let now = Instant::now();
         let instances = self.instances(service);
         instances
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -94,11 +94,11 @@
 enum FailoverReason {
     /// No primary is known.
     Unknown,
-    /// No node that was asked reaches it.
+    /// None of the nodes that were asked reaches it.
     Lost,
     /// It is leaving, and still serves.
     Leaving,
-    /// It serves, but stands where a primary of its service should not.
+    /// It serves, but is not where a primary of its service should be.
     Misplaced,
 }
 
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -253,7 +253,7 @@
     let is_among = |region: &RegionName| context.regions.permits(region);
     let serves =
         !context.regions.is_restricted() || wanted.is_restricted() && wanted.names().all(is_among);
-    serves && cluster.has_place_for_primary(service)
+    serves && cluster.has_well_placed_instance(service)
 }
 
 /// The reason to report when no primary may run a statement.
