--- a/crates/linkhold-gateway/src/admission/quotas.rs
+++ b/crates/linkhold-gateway/src/admission/quotas.rs
@@ -32,8 +32,8 @@
 const RETRANSMIT_AFTER: Duration = Duration::from_millis(70);
 /// How long a coordinator may take to answer.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(160);
-/// How long a coordinator that gave no answer is passed over.
-const PASS_OVER_PERIOD: Duration = Duration::from_millis(1_000);
+/// How long a coordinator that gave no answer counts as unreached.
+const UNREACHED_PERIOD: Duration = Duration::from_millis(1_000);
 /// Pause before the fleet is checked again while it is not known.
 const FLEET_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
@@ -114,8 +114,8 @@
             .is_none_or(|until| Instant::now() >= *until)
     }
 
-    fn pass_over(&self, address: SocketAddr) {
-        let until = Instant::now() + PASS_OVER_PERIOD;
+    fn mark_unreached(&self, address: SocketAddr) {
+        let until = Instant::now() + UNREACHED_PERIOD;
         lock(&self.unreached_until).insert(address, until);
     }
 }
@@ -283,7 +283,7 @@
 }
 
 /// Asks a node, and once more if no answer arrives. A node that gives no answer is passed
-/// over for [`PASS_OVER_PERIOD`].
+/// over for [`UNREACHED_PERIOD`].
 pub(super) async fn send_question<E: BudgetEnvironment>(
     environment: &Arc<E>,
     address: SocketAddr,
@@ -311,11 +311,11 @@
     lock(&environment.quotas().pending).remove(&number);
     let answer = answer.ok().and_then(Result::ok);
     if answer.is_none() {
-        environment.quotas().pass_over(address);
+        environment.quotas().mark_unreached(address);
         Event::info("budget_coordinator_unreached")
             .field("tenant", request.tenant)
             .field("node", address)
-            .field("for_ms", PASS_OVER_PERIOD.as_millis())
+            .field("for_ms", UNREACHED_PERIOD.as_millis())
             .log();
     }
     answer
