--- a/crates/linkhold-core/src/service/failover.rs
+++ b/crates/linkhold-core/src/service/failover.rs
@@ -291,7 +291,7 @@
 /// up for a better region; among equals one in a primary region, then one that is warm,
 /// then one that stays, then the lowest identity, so that all nodes choose alike. With
 /// `synchronous` replicas the received position always decides; without, a leaving
-/// instance is passed over while another is there.
+/// instance is skipped while there is another.
 pub fn choose_successor(candidates: &[Successor], synchronous: usize) -> Option<&Successor> {
     let any_stays = candidates.iter().any(|candidate| !candidate.is_leaving);
     let skips_leaving = synchronous == 0 && any_stays;
--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -198,7 +198,7 @@
     }
 }
 
-/// Replacements that a node has agreed to lately.
+/// Replacements that a node has recently agreed to.
 #[derive(Clone, Debug, Default)]
 pub struct Consents {
     /// When the node agreed to each question, by subject and by the question's number.
@@ -219,7 +219,7 @@
         self.retain(|number, _| number != question);
     }
 
-    /// Subjects that the node has agreed to lately.
+    /// Subjects that the node has recently agreed to.
     pub fn recent(&mut self, now: Instant) -> Vec<String> {
         self.drop_expired(now);
         self.agreed.keys().cloned().collect()
@@ -260,7 +260,7 @@
     (nodes >= MIN_FLEET_FOR_CONFIRMATIONS).then(|| nodes - nodes / QUORUM_DIVISOR)
 }
 
-/// Fleet sizes that a node saw lately. Nodes that it no longer sees may still count for
+/// Fleet sizes that a node saw recently. Nodes that it no longer sees may still count for
 /// others, so confirmations are counted against the largest size.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSizes {
@@ -285,7 +285,7 @@
 }
 
 /// Nodes, including the asking one, that have to agree to a replacement, out of `nodes`
-/// that were listed lately.
+/// that were listed recently.
 pub fn agreements_needed(nodes: usize) -> usize {
     nodes / QUORUM_DIVISOR + 1
 }
--- a/crates/linkhold-core/src/service/placement.rs
+++ b/crates/linkhold-core/src/service/placement.rs
@@ -34,7 +34,7 @@
     Remote,
 }
 
-/// How healthy an instance has been lately; healthier ones come first.
+/// How healthy an instance has recently been; healthier ones come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthRank {
     /// No sign of a problem.
--- a/crates/linkhold-core/src/service/primary_placement.rs
+++ b/crates/linkhold-core/src/service/primary_placement.rs
@@ -7,7 +7,7 @@
 
 /// Regions in which the primary of a service should be: those that its routes allow,
 /// the more urgent ones first, and then its tenants, the larger ones first. A route or
-/// tenant that allows none of the regions left by then is passed over: wherever the
+/// tenant that allows none of the regions left by then is skipped: wherever the
 /// primary were, some route or tenant could not write.
 ///
 /// The result depends on the configuration alone, so that all nodes compute the same
--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -65,7 +65,7 @@
     /// When the whole fleet was started for the first time; `None` if it runs already.
     first_started_at: Option<Instant>,
     configuration: Mutex<Option<Arc<Configuration>>>,
-    /// Regions that the primary of each region-bound service should stand in.
+    /// Regions in which the primary of each region-bound service should be.
     primary_regions: Mutex<Arc<HashMap<ServiceName, AllowedRegions>>>,
     directory_read_at: Mutex<Option<Instant>>,
     instances: Mutex<KnownInstances>,
--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which instances may run a statement and where primaries should stand, by the
+//! Which instances may run a statement and where primaries should be, by the
 //! configured regions, evacuations and cold instances that this node knows of.
 
 use std::collections::{HashMap, HashSet};
@@ -184,7 +184,7 @@
         for instance in instances.directory.instances(service) {
             match self.eligibility_in(&instances, instance, regions, StatementBinding::Unbound) {
                 Ok(()) => return None,
-                // An evacuated instance stands in the regions, so evacuation is the
+                // An evacuated instance is in the regions, so evacuation is the
                 // reason to report.
                 Err(Ineligible::Evacuated) => found = Some(Ineligible::Evacuated),
                 Err(Ineligible::OutsideRegions) => {
@@ -195,7 +195,7 @@
         found
     }
 
-    /// Where the primary of a service should stand.
+    /// The regions in which the primary of a service should be.
     pub fn primary_regions(&self, service: &str) -> AllowedRegions {
         let bound = lock(&self.primary_regions).clone();
         bound.get(service).cloned().unwrap_or_default()
--- a/crates/linkhold-gateway/src/failover/misplaced.rs
+++ b/crates/linkhold-gateway/src/failover/misplaced.rs
@@ -1,6 +1,6 @@
-//! Schedules tries to replace primaries that stand where they should not.
+//! Schedules attempts to replace primaries that are not where they should be.
 //!
-//! Such a primary serves, and may do so for long if no successor is close. So the nodes
+//! Such a primary serves, and may do so for a long time if no successor is close. So the nodes
 //! take turns by their rank, and each retries with a growing pause.
 
 use std::collections::HashMap;
--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Has one of `owners` run a statement that stands alone or opens a transaction;
+/// Sends one of `owners` a statement that is a transaction of its own or opens one;
 /// `None` if no owner takes it, in which case it did not run.
 pub(crate) async fn run<P: Platform>(
     gateway: &Arc<Gateway<P>>,
--- a/crates/linkhold-gateway/src/forward/owner.rs
+++ b/crates/linkhold-gateway/src/forward/owner.rs
@@ -201,7 +201,7 @@
     let _ = lent.outbox.send(ForwardMessage::Ended { number, outcome });
 }
 
-/// Runs a statement that stands alone or opens a transaction.
+/// Runs a statement that is a transaction of its own or opens one.
 async fn start<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     lent: &Arc<LentConnections<P>>,
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -226,7 +226,7 @@
         {
             return Err(Failure::NotRun(primary_refusal(ineligible)));
         }
-        // An instance that is passed over after a failure becomes usable again
+        // An instance that is avoided after a failure becomes usable again
         // without a change that would wake this loop.
         let next_check = wait_deadline.min(now + ROUND_PAUSE * 2);
         let _ = timeout_at(next_check.into(), changes.changed()).await;
--- a/crates/linkhold-peer/src/feed/message.rs
+++ b/crates/linkhold-peer/src/feed/message.rs
@@ -117,7 +117,7 @@
     Listed {
         /// The renewal's number.
         number: u64,
-        /// The leases that were claimed lately, which a new follower needs to know;
+        /// The leases that were recently claimed, which a new follower needs to know;
         /// `None` if they were not read since the row was written.
         claims: Option<Vec<RecentClaim>>,
         /// The store's records of earlier promotions, read with the claims; empty
@@ -129,7 +129,7 @@
     Confirmed {
         /// The renewal's number.
         number: u64,
-        /// Replacements that the reader has agreed to lately.
+        /// Replacements that the reader has recently agreed to.
         agreed: Vec<String>,
     },
     /// A follower shuts down in order: no node needs to wait for its answers.
--- a/crates/linkhold-peer/src/reachability.rs
+++ b/crates/linkhold-peer/src/reachability.rs
@@ -95,14 +95,14 @@
         #[n(0)]
         number: u64,
     },
-    /// Asks which replacements a node has agreed to lately.
+    /// Asks which replacements a node has recently agreed to.
     #[n(2)]
     ConfirmationQuestion {
         /// Number that the answer repeats.
         #[n(0)]
         number: u64,
     },
-    /// Lists all replacements that the node has agreed to lately.
+    /// Lists all replacements that the node has recently agreed to.
     #[n(3)]
     ConfirmationAnswer {
         /// The question's number.
