--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -246,11 +246,11 @@
     }
 }
 
-/// One node in this many may be missing where a node goes on by confirmations. Fewer
-/// may be missing than with majorities, so that a replacement needs few of the
-/// remaining nodes: any number of nodes may be lost at once.
+/// One node in this many may be missing where a node keeps its permission by
+/// confirmations. Fewer may be missing than with majorities, so that a replacement needs
+/// few of the remaining nodes: any number of nodes may be lost at once.
 const QUORUM_DIVISOR: usize = 4;
-/// Smallest fleet whose nodes go on by confirmations. In a smaller fleet, a single
+/// Smallest fleet whose nodes keep their permission by confirmations. In a smaller fleet, a single
 /// joining node would be enough to replace a primary.
 const MIN_FLEET_FOR_CONFIRMATIONS: usize = 3;
 
@@ -290,7 +290,8 @@
     nodes / QUORUM_DIVISOR + 1
 }
 
-// A node that goes on by confirmations alone stops while others still count it.
+// A node that keeps its permission by confirmations alone loses it while others still
+// count the node.
 const _: () = assert!(
     MAX_UNLISTED_PERIOD.as_millis() + LISTING_MARGIN.as_millis()
         <= ROW_EXPIRY.as_millis() + EXPIRED_NODE_PERIOD.as_millis()
--- a/crates/linkhold-core/src/service/reader_search.rs
+++ b/crates/linkhold-core/src/service/reader_search.rs
@@ -36,14 +36,15 @@
 
 /// Shortest and longest pause between two checks of a store that does not answer, in
 /// percent of the trust period: the store may be unavailable to some nodes only, and
-/// this one must find out soon when it is back.
+/// this one must soon detect that it answers again.
 const STORE_CHECK_PAUSE_PERCENTS: [u32; 2] = [50, 90];
 /// After the first round, the node stays with one of this many readers in turn.
 const STAY_EVERY: usize = 3;
 /// How long a node stays with a reader that has lost the store before it tries others:
 /// some may not have lost it.
 const STAY_PERIOD: Duration = Duration::from_millis(1_500);
-/// The same while the node waits for a reader to find out that the store is back.
+/// Like [`STAY_PERIOD`], while the node waits for a reader to detect that the store
+/// answers again.
 const STAY_AFTER_STORE_CHECK: Duration = Duration::from_millis(300);
 /// Divisor of the search time for a node that cannot serve callers yet.
 const STARTING_DIVISOR: u32 = 4;
@@ -55,7 +56,7 @@
     /// When to check the store; set when the first reader fails.
     check_store_at: Option<Instant>,
     /// After a check that the store answered: when the node reads the store itself,
-    /// unless a reader has found out by then that the store answers.
+    /// unless a reader has detected by then that the store answers.
     read_store_at: Option<Instant>,
 }
 
--- a/crates/linkhold-core/tests/service_evidence_terms.rs
+++ b/crates/linkhold-core/tests/service_evidence_terms.rs
@@ -39,7 +39,7 @@
     assert_eq!(newest, Some(Position::new(2, 6)));
 }
 
-/// The same where it goes on answering for longer than samples are kept.
+/// Like the test before, where the old primary answers for longer than samples are kept.
 #[test]
 fn many_answers_of_an_older_term_do_not_replace_a_newer_one() {
     let start = Instant::now();
--- a/crates/linkhold-gateway/src/failover/diagnosis.rs
+++ b/crates/linkhold-gateway/src/failover/diagnosis.rs
@@ -40,8 +40,8 @@
         .read_health(&primary.id, |health| health.is_failing())
         .unwrap_or(false);
     if !is_failing && !gateway.watches(service) {
-        // The watchers are better placed to find out, and this node's own traffic
-        // passes.
+        // The watchers can check the primary better, and this node's own statements
+        // are answered.
         return reason_by_watchers(&primary, peers.await.tally);
     }
     tokio::pin!(peers);
--- a/crates/linkhold-gateway/src/failover/misplaced.rs
+++ b/crates/linkhold-gateway/src/failover/misplaced.rs
@@ -1,7 +1,7 @@
 //! Schedules attempts to replace primaries that are not where they should be.
 //!
-//! Such a primary serves, and may do so for a long time if no successor is close. So the nodes
-//! take turns by their rank, and each retries with a growing pause.
+//! Such a primary serves, and may do so for a long time if no successor is close. So the
+//! nodes take turns by their rank, and each retries with a growing pause.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/linkhold-gateway/src/forward/link.rs
+++ b/crates/linkhold-gateway/src/forward/link.rs
@@ -124,7 +124,7 @@
         let _ = self.outbox.send(message);
     }
 
-    /// Has the owner run a statement. Waits for the answer until `answer_by` or, if
+    /// Sends the owner a statement to run. Waits for the answer until `answer_by` or, if
     /// `gives_up_silent`, until the owner has been silent for
     /// [`OWNER_SILENCE_TIMEOUT`].
     pub async fn call(
--- a/crates/linkhold-gateway/src/forward/mod.rs
+++ b/crates/linkhold-gateway/src/forward/mod.rs
@@ -198,8 +198,8 @@
 }
 
 impl<P: Platform> Call<'_, P> {
-    /// Has the owner run the statement. If `is_repeatable`, gives up when the owner is
-    /// silent.
+    /// Sends the owner the statement to run. If `is_repeatable`, gives up when the owner
+    /// is silent.
     async fn run(
         &self,
         statement: ForwardStatement,
--- a/crates/linkhold-gateway/src/observations.rs
+++ b/crates/linkhold-gateway/src/observations.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Has a primary checked if a statement has waited unusually long for it, and it
+    /// Starts a check of a primary if a statement has waited unusually long for it and it
     /// has answered nothing since.
     pub(crate) fn suspect_if_primary_is_silent(&self, instance: &Instance, sent_at: Instant) {
         let is_primary = self
--- a/crates/linkhold-gateway/src/pool/lease.rs
+++ b/crates/linkhold-gateway/src/pool/lease.rs
@@ -68,8 +68,9 @@
             .expect("a lease has its connection until it is released")
     }
 
-    /// Has the pool's connections that were last used before `sent_at` checked before
-    /// they are used again: a statement that was sent then got no answer on this one.
+    /// Marks the pool's connections that were last used before `sent_at` to be checked
+    /// before they are used again: a statement sent at that time got no answer on this
+    /// connection.
     pub(crate) fn suspect_used_before(&self, sent_at: Instant) {
         self.pool.suspect_used_before(sent_at);
     }
--- a/crates/linkhold-gateway/src/refresh.rs
+++ b/crates/linkhold-gateway/src/refresh.rs
@@ -159,7 +159,8 @@
                 gateway.cluster.directory_read_failed();
                 revision = None;
                 contact.back_off(error).await;
-                // The task that refreshes the configuration detects that the store is back.
+                // The task that refreshes the configuration detects that the store
+                // answers again.
                 gateway.sources.wait_for_store(STORE_RETURN_TIMEOUT).await;
             }
         }
--- a/crates/linkhold-gateway/src/registry.rs
+++ b/crates/linkhold-gateway/src/registry.rs
@@ -259,7 +259,7 @@
     pub own_writer: Option<Process>,
     /// The store's era.
     pub era: Era,
-    /// The era row, if it is there and readable.
+    /// The era row; `None` if it does not exist or cannot be decoded.
     pub era_row: Option<EraRow>,
     /// Version of the era row; the default if there is none.
     pub era_version: StoreRevision,
--- a/crates/linkhold-gateway/src/request/exchange.rs
+++ b/crates/linkhold-gateway/src/request/exchange.rs
@@ -86,7 +86,7 @@
 }
 
 /// Sends commands and waits for their replies; `None` if they are not complete by
-/// `answer_by`. Has the instance probed if it stays silent for too long.
+/// `answer_by`. Starts a probe of the instance if it is silent for too long.
 async fn send_and_wait<P: Platform>(
     gateway: &Arc<Gateway<P>>,
     lease: &mut Lease<ConnectionOf<P>>,
--- a/crates/linkhold-gateway/src/state/warm_ups.rs
+++ b/crates/linkhold-gateway/src/state/warm_ups.rs
@@ -20,7 +20,7 @@
     pub sent: RequestWindow,
     /// Whether the instance was not known to be warm at the last check.
     is_held_off: bool,
-    /// Has the instance's watcher probe it at once.
+    /// Notifies the instance's watcher to probe the instance at once.
     pub needs_answer: Arc<Notify>,
 }
 
