--- a/crates/linkhold-core/src/service/permission.rs
+++ b/crates/linkhold-core/src/service/permission.rs
@@ -198,7 +198,7 @@
     }
 }
 
-/// Replacements that a node has agreed to lately.
+/// Replacements that a node has recently agreed to.
 #[derive(Clone, Debug, Default)]
 pub struct Consents {
     /// When the node agreed to each question, by subject and by the question's number.
@@ -219,7 +219,7 @@
         self.retain(|number, _| number != question);
     }
 
-    /// Subjects that the node has agreed to lately.
+    /// Subjects that the node has recently agreed to.
     pub fn recent(&mut self, now: Instant) -> Vec<String> {
         self.drop_expired(now);
         self.agreed.keys().cloned().collect()
@@ -246,11 +246,11 @@
     }
 }
 
-/// One node in this many may be missing where a node goes on by confirmations. Fewer
-/// may be missing than with majorities, so that a replacement needs few of the
-/// remaining nodes: any number of nodes may be lost at once.
+/// One node in this many may be missing where a node keeps its permission by
+/// confirmations. Fewer may be missing than with majorities, so that a replacement needs
+/// few of the remaining nodes: any number of nodes may be lost at once.
 const QUORUM_DIVISOR: usize = 4;
-/// Smallest fleet whose nodes go on by confirmations. In a smaller fleet, a single
+/// Smallest fleet whose nodes keep their permission by confirmations. In a smaller fleet, a single
 /// joining node would be enough to replace a primary.
 const MIN_FLEET_FOR_CONFIRMATIONS: usize = 3;
 
@@ -260,7 +260,7 @@
     (nodes >= MIN_FLEET_FOR_CONFIRMATIONS).then(|| nodes - nodes / QUORUM_DIVISOR)
 }
 
-/// Fleet sizes that a node saw lately. Nodes that it no longer sees may still count for
+/// Fleet sizes that a node saw recently. Nodes that it no longer sees may still count for
 /// others, so confirmations are counted against the largest size.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSizes {
@@ -285,12 +285,13 @@
 }
 
 /// Nodes, including the asking one, that have to agree to a replacement, out of `nodes`
-/// that were listed lately.
+/// that were listed recently.
 pub fn agreements_needed(nodes: usize) -> usize {
     nodes / QUORUM_DIVISOR + 1
 }
 
-// A node that goes on by confirmations alone stops while others still count it.
+// A node that keeps its permission by confirmations alone loses it while others still
+// count the node.
 const _: () = assert!(
     MAX_UNLISTED_PERIOD.as_millis() + LISTING_MARGIN.as_millis()
         <= ROW_EXPIRY.as_millis() + EXPIRED_NODE_PERIOD.as_millis()
--- a/crates/linkhold-gateway/src/cluster_state/eligibility.rs
+++ b/crates/linkhold-gateway/src/cluster_state/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which instances may run a statement and where primaries should stand, by the
+//! Which instances may run a statement and where primaries should be, by the
 //! configured regions, evacuations and cold instances that this node knows of.
 
 use std::collections::{HashMap, HashSet};
@@ -151,10 +151,10 @@
         &self,
         instance: &Instance,
         regions: &AllowedRegions,
-        engagement: StatementBinding,
+        binding: StatementBinding,
     ) -> Result<(), Ineligible> {
         let instances = lock(&self.instances);
-        self.eligibility_in(&instances, instance, regions, engagement)
+        self.eligibility_in(&instances, instance, regions, binding)
     }
 
     pub(super) fn eligibility_in(
@@ -162,15 +162,15 @@
         instances: &KnownInstances,
         instance: &Instance,
         regions: &AllowedRegions,
-        engagement: StatementBinding,
+        binding: StatementBinding,
     ) -> Result<(), Ineligible> {
         let zone = instances.evacuations.state(&instance.zone, Instant::now());
-        let standing = EligibilityFacts {
+        let facts = EligibilityFacts {
             is_in_regions: !regions.is_restricted()
                 || regions.permits(&self.zone_map.region(&instance.zone)),
             zone,
         };
-        eligibility::check(standing, engagement)
+        eligibility::check(facts, binding)
     }
 
     /// Why no instance of a service may run a request that is bound to these regions,
@@ -184,7 +184,7 @@
         for instance in instances.directory.instances(service) {
             match self.eligibility_in(&instances, instance, regions, StatementBinding::Unbound) {
                 Ok(()) => return None,
-                // An evacuated instance stands in the regions, so evacuation is the
+                // An evacuated instance is in the regions, so evacuation is the
                 // reason to report.
                 Err(Ineligible::Evacuated) => found = Some(Ineligible::Evacuated),
                 Err(Ineligible::OutsideRegions) => {
@@ -195,30 +195,31 @@
         found
     }
 
-    /// Where the primary of a service should stand.
+    /// The regions in which the primary of a service should be.
     pub fn primary_regions(&self, service: &str) -> AllowedRegions {
         let bound = lock(&self.primary_regions).clone();
         bound.get(service).cloned().unwrap_or_default()
     }
 
-    /// Whether an instance stands where a primary of its service should.
+    /// Whether an instance is where a primary of its service should be: in an allowed
+    /// region, and in a zone that is not evacuated.
     pub fn is_well_placed(&self, instance: &Instance) -> bool {
         let regions = self.primary_regions(&instance.service);
         self.eligibility(instance, &regions, StatementBinding::Unbound)
             .is_ok()
     }
 
-    /// Whether the primary of a service stands where it should not while an instance
-    /// that is not leaving stands where it should.
+    /// Whether the primary of a service is not well placed while an instance that is not
+    /// leaving is.
     pub fn is_primary_misplaced(&self, service: &str) -> bool {
         let Some(primary) = self.primary(service) else {
             return false;
         };
-        !self.is_well_placed(&primary) && self.has_place_for_primary(service)
+        !self.is_well_placed(&primary) && self.has_well_placed_instance(service)
     }
 
-    /// Whether an instance that is not leaving stands where the primary should.
-    pub fn has_place_for_primary(&self, service: &str) -> bool {
+    /// Whether a service has a well-placed instance that is not leaving.
+    pub fn has_well_placed_instance(&self, service: &str) -> bool {
         let now = Instant::now();
         let instances = self.instances(service);
         instances
--- a/crates/linkhold-gateway/src/refresh.rs
+++ b/crates/linkhold-gateway/src/refresh.rs
@@ -159,7 +159,8 @@
                 gateway.cluster.directory_read_failed();
                 revision = None;
                 contact.back_off(error).await;
-                // The task that refreshes the configuration detects that the store is back.
+                // The task that refreshes the configuration detects that the store
+                // answers again.
                 gateway.sources.wait_for_store(STORE_RETURN_TIMEOUT).await;
             }
         }
@@ -237,7 +238,7 @@
 /// the process ends.
 pub async fn close_unused_connections<P: Platform>(gateway: Arc<Gateway<P>>) {
     loop {
-        if gateway.pools.is_crowded() {
+        if gateway.pools.closes_unused() {
             sleep(UNUSED_CHECK_INTERVAL).await;
             gateway.pools.close_unused();
         } else {
--- a/crates/linkhold-gateway/src/request/statement.rs
+++ b/crates/linkhold-gateway/src/request/statement.rs
@@ -226,7 +226,7 @@
         {
             return Err(Failure::NotRun(primary_refusal(ineligible)));
         }
-        // An instance that is passed over after a failure becomes usable again
+        // An instance that is avoided after a failure becomes usable again
         // without a change that would wake this loop.
         let next_check = wait_deadline.min(now + ROUND_PAUSE * 2);
         let _ = timeout_at(next_check.into(), changes.changed()).await;
@@ -253,7 +253,7 @@
     let is_among = |region: &RegionName| context.regions.permits(region);
     let serves =
         !context.regions.is_restricted() || wanted.is_restricted() && wanted.names().all(is_among);
-    serves && cluster.has_place_for_primary(service)
+    serves && cluster.has_well_placed_instance(service)
 }
 
 /// The reason to report when no primary may run a statement.
