--- a/crates/linkhold-standin/src/group/engine.rs
+++ b/crates/linkhold-standin/src/group/engine.rs
@@ -109,7 +109,8 @@
     }
 
     pub fn rollback(&self) {
-        // Fails only without an open transaction, and then there is nothing to roll back.
+        // Fails only without an open transaction, and then there is nothing to roll
+        // back.
         let _ = self.connection.execute_batch("ROLLBACK");
     }
 
--- a/crates/linkhold-standin/src/platform.rs
+++ b/crates/linkhold-standin/src/platform.rs
@@ -5,7 +5,7 @@
 //! |---|---|
 //! | `GET /tables/{name}` | the newest [`TableVersion`], or version N with `?version=N` |
 //! | `GET /tables/{name}?newer_than=N` | the newest version, or 204 if it is not newer than N |
-//! | `PUT /tables/{name}` | compare-and-set with a [`TableEdit`]; 409 if the expected version is not the newest |
+//! | `PUT /tables/{name}` | compare-and-set with a [`TableEdit`]; 409 if the version is outdated |
 //! | `GET /tables/{name}/history` | all versions without bodies |
 //! | `GET`, `PUT /objects/{key}` | an object's bytes |
 //! | `GET /machines` | the machine list |
--- a/crates/linkhold-standin/src/relay.rs
+++ b/crates/linkhold-standin/src/relay.rs
@@ -36,8 +36,8 @@
     pub link: Link,
     /// Delay of each byte in each direction.
     pub one_way_delay: Duration,
-    /// Number of permanent silences so far; connections opened before the last one forward
-    /// nothing any more.
+    /// Number of permanent silences so far; connections opened before the last one
+    /// forward nothing any more.
     pub permanent_silences: u64,
 }
 
@@ -78,8 +78,8 @@
         self.state.send_modify(|state| state.link = link);
     }
 
-    /// Stops forwarding on all open connections for good, without a reset. New connections
-    /// work.
+    /// Stops forwarding on all open connections for good, without a reset. New
+    /// connections work.
     pub fn silence_open_connections(&self) {
         self.state
             .send_modify(|state| state.permanent_silences += 1);
--- a/crates/linkhold/src/demo/fault/run.rs
+++ b/crates/linkhold/src/demo/fault/run.rs
@@ -260,7 +260,8 @@
         record_accepted_edit(&outcome, world, history).await
     }
 
-    /// Prepares an edit of the newest version; repeats the read while the store is down.
+    /// Prepares an edit of the newest version; repeats the read while the store is
+    /// down.
     async fn prepare(&mut self, world: &World, change: impl Fn(&mut Sheet)) -> Result<Edit> {
         const READ_ATTEMPTS: usize = 100;
         const READ_PAUSE: Duration = Duration::from_millis(100);
--- a/crates/linkhold/src/demo/report.rs
+++ b/crates/linkhold/src/demo/report.rs
@@ -44,8 +44,8 @@
     pub read_p50_ms: f64,
     /// 99th percentile latency of answered reads in milliseconds.
     pub read_p99_ms: f64,
-    /// 99th percentile of the time until a read had a fresh instance with a slot, on the
-    /// slowest node; rounded up to the upper bound of a power-of-two bucket.
+    /// 99th percentile of the time until a read had a fresh instance with a slot, on
+    /// the slowest node; rounded up to the upper bound of a power-of-two bucket.
     pub read_wait_p99_ms: f64,
     /// Median latency of acknowledged writes in milliseconds.
     pub write_p50_ms: f64,
--- a/crates/linkhold/src/demo/world.rs
+++ b/crates/linkhold/src/demo/world.rs
@@ -118,7 +118,8 @@
         Ok(())
     }
 
-    /// Returns the peer settings of a node that starts now; all running nodes are seeds.
+    /// Returns the peer settings of a node that starts now; all running nodes are
+    /// seeds.
     fn peer_settings(&self) -> PeerSettings {
         let running = self.nodes.iter().flatten();
         PeerSettings {
--- a/crates/linkhold/tests/command_line.rs
+++ b/crates/linkhold/tests/command_line.rs
@@ -202,8 +202,8 @@
         let settings = format!("hour_offset_seconds = {offset}");
         let node = NodeProcess::start(&standin, "node-1", &settings);
         let client = connect(&node.address, &standin.database).await;
-        // A node that has just started reads at the primary until it has a status of the
-        // replica, and never at the replica of the other half of the day.
+        // A node that has just started reads at the primary until it has a status of
+        // the replica, and never at the replica of the other half of the day.
         let first = format!("SELECT title FROM episodes WHERE id = 'first-{simulated_hour}'");
         eventually("the replica is known", || async {
             rows(&client, &first).await.expect("is read");
