--- a/crates/linkhold-peer/tests/feed.rs
+++ b/crates/linkhold-peer/tests/feed.rs
@@ -233,10 +233,10 @@
     }
 
     #[test]
-    fn a_damaged_message_is_refused(which in 0_usize..5, place in 0_usize..400, bit in 0_u8..8) {
+    fn a_damaged_message_is_refused(which in 0_usize..5, index in 0_usize..400, bit in 0_u8..8) {
         let mut bytes = encode_feed(&messages()[which], &key());
-        let place = place % bytes.len();
-        bytes[place] ^= 1 << bit;
+        let index = index % bytes.len();
+        bytes[index] ^= 1 << bit;
         prop_assert!(decode_feed(&bytes, &key()).is_err());
     }
 }
