--- a/crates/linkhold-core/src/service/directory/mod.rs
+++ b/crates/linkhold-core/src/service/directory/mod.rs
@@ -209,7 +209,7 @@
     pub fn replace(
         &mut self,
         listed: Vec<Instance>,
-        currency: Recency,
+        recency: Recency,
         now: Instant,
     ) -> Vec<PrimaryChange> {
         self.record_read(now);
@@ -226,7 +226,7 @@
         listed
             .into_iter()
             .filter_map(|instance| {
-                if currency == Recency::MayBeOlder {
+                if recency == Recency::MayBeOlder {
                     self.announce_from_copy(instance, now)
                 } else {
                     self.announce(instance, now)
--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -171,7 +171,7 @@
             self.log_instance(instance);
         }
         let is_copy = known != StoreRevision::default() && revision.era() > known.era();
-        let currency = if is_copy {
+        let recency = if is_copy {
             Recency::MayBeOlder
         } else {
             Recency::Current
@@ -180,7 +180,7 @@
         if is_copy {
             instances.directory.record_read_failure();
         }
-        let changes = instances.directory.replace(listed, currency, now);
+        let changes = instances.directory.replace(listed, recency, now);
         if self.is_first_fleet_start(now) {
             instances.directory.mark_all_primaries_verified();
         }
