--- a/crates/linkhold-gateway/src/failover/misplaced.rs
+++ b/crates/linkhold-gateway/src/failover/misplaced.rs
@@ -17,7 +17,7 @@
 /// Pause before the second try of a node; it doubles with each try.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 /// Longest pause between tries.
-const LONGEST_PAUSE: Duration = Duration::from_millis(4_000);
+const MAX_PAUSE: Duration = Duration::from_millis(4_000);
 
 struct Turn {
     next_at: Instant,
@@ -58,7 +58,7 @@
         let is_due = now >= self.next_at;
         if is_due {
             self.next_at = now + self.pause;
-            self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+            self.pause = (self.pause * 2).min(MAX_PAUSE);
         }
         is_due
     }
--- a/crates/linkhold-gateway/src/failover/mod.rs
+++ b/crates/linkhold-gateway/src/failover/mod.rs
@@ -39,7 +39,7 @@
 /// Time between the tries of nodes of consecutive rank.
 const RANK_INTERVAL: Duration = Duration::from_millis(90);
 /// Longest delay by rank.
-const LONGEST_RANK_DELAY: Duration = Duration::from_millis(700);
+const MAX_RANK_DELAY: Duration = Duration::from_millis(700);
 /// Pause before a primary that turned out to need no failover is checked again.
 const RECHECK_PAUSE: Duration = Duration::from_millis(250);
 /// First pause before the watchers of a service are asked for its primary: a
@@ -47,7 +47,7 @@
 const FIRST_LEARNING_PAUSE: Duration = Duration::from_millis(500);
 /// Longest of these pauses, which double: at this pause a thousand nodes ask a
 /// service's twelve watchers 250 times a second.
-const LONGEST_LEARNING_PAUSE: Duration = Duration::from_millis(8_000);
+const MAX_LEARNING_PAUSE: Duration = Duration::from_millis(8_000);
 /// Pause after a try that did not end the failover.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -136,7 +136,7 @@
     let mut pause = FIRST_LEARNING_PAUSE;
     while !gateway.is_leaving() && needs_failover(gateway, service) {
         sleep(pause.mul_f64(rand::random_range(0.5..1.5))).await;
-        pause = (pause * 2).min(LONGEST_LEARNING_PAUSE);
+        pause = (pause * 2).min(MAX_LEARNING_PAUSE);
         if needs_failover(gateway, service) && learn_primary(gateway, service).await {
             return;
         }
@@ -165,7 +165,7 @@
 fn rank_delay<P: Platform>(gateway: &Gateway<P>, service: &str) -> Duration {
     let rank = gateway.fleet.duty_rank(&gateway.settings.node, service);
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-    RANK_INTERVAL.saturating_mul(rank).min(LONGEST_RANK_DELAY)
+    RANK_INTERVAL.saturating_mul(rank).min(MAX_RANK_DELAY)
 }
 
 /// Whether a service has no known primary, or one that is leaving or failing.
--- a/crates/linkhold-gateway/src/metrics.rs
+++ b/crates/linkhold-gateway/src/metrics.rs
@@ -12,7 +12,7 @@
 use crate::store_call::CallReason;
 
 /// Longest time that the histogram resolves, in microseconds.
-const LONGEST_MICROSECONDS: u64 = 60_000_000;
+const MAX_MICROSECONDS: u64 = 60_000_000;
 /// Significant digits of the histogram; two keep the histogram small.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
@@ -126,7 +126,7 @@
 
 impl Default for LatencyHistogram {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+        let histogram = Histogram::new_with_bounds(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
             .expect("the bounds are valid");
         Self(Mutex::new(histogram))
     }
--- a/crates/linkhold/src/group/probe.rs
+++ b/crates/linkhold/src/group/probe.rs
@@ -14,9 +14,9 @@
 use crate::metrics::{Metrics, count};
 use crate::settings::Settings;
 
-/// First pause after a failed probe; doubles up to [`LONGEST_PAUSE`].
-const SHORTEST_PAUSE: Duration = Duration::from_millis(5);
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+/// First pause after a failed probe; doubles up to [`MAX_PAUSE`].
+const MIN_PAUSE: Duration = Duration::from_millis(5);
+const MAX_PAUSE: Duration = Duration::from_millis(100);
 /// Idle connections kept to each instance, so that the first write to a new primary
 /// does not wait for a connection.
 const WARM_CONNECTIONS: usize = 1;
@@ -42,13 +42,13 @@
 pub async fn run_probe_loop(probe_loop: ProbeLoop) {
     let mut connection = None;
     let mut last = ProbeTag::default();
-    let mut pause = SHORTEST_PAUSE;
+    let mut pause = MIN_PAUSE;
     loop {
         let tag = probe_loop.demand.next_tag();
         count(&probe_loop.metrics.probes);
         let delivered = match probe_loop.probe(&mut connection).await {
             Ok(status) => {
-                pause = SHORTEST_PAUSE;
+                pause = MIN_PAUSE;
                 last = tag;
                 probe_loop.report_answer(tag, status).await
             }
@@ -56,7 +56,7 @@
                 connection = None;
                 let delivered = probe_loop.report_failure().await;
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pause = (pause * 2).min(MAX_PAUSE);
                 if delivered {
                     continue;
                 }
--- a/crates/linkhold/src/node.rs
+++ b/crates/linkhold/src/node.rs
@@ -95,12 +95,12 @@
 const CACHE_ENTRIES: usize = 8_192;
 /// Longest statement text that is cached, in bytes; longer texts are classified
 /// each time.
-const LONGEST_CACHED: usize = 4_096;
+const MAX_CACHED_BYTES: usize = 4_096;
 
 impl StatementCache {
     /// Classifies a text.
     pub fn classify(&self, text: &str) -> Arc<Classified> {
-        if text.len() > LONGEST_CACHED {
+        if text.len() > MAX_CACHED_BYTES {
             return Arc::new(classify(text));
         }
         let hash = xxh3_128(text.as_bytes());
--- a/crates/linkhold/src/session/startup.rs
+++ b/crates/linkhold/src/session/startup.rs
@@ -123,16 +123,16 @@
 /// zero byte that the protocol requires. The library's decoder assumes both
 /// without a check.
 fn is_first_message_valid(buffer: &BytesMut) -> bool {
-    const SHORTEST: usize = 8;
+    const MIN_STARTUP_LENGTH: usize = 8;
     const CANCEL_LENGTH: usize = 16;
     let Some(length) = buffer.first_chunk::<4>() else {
         return true;
     };
     let length = u32::from_be_bytes(*length) as usize;
-    if !(SHORTEST..=MAX_STARTUP_LENGTH).contains(&length) {
+    if !(MIN_STARTUP_LENGTH..=MAX_STARTUP_LENGTH).contains(&length) {
         return false;
     }
-    if buffer.len() < length || length == SHORTEST {
+    if buffer.len() < length || length == MIN_STARTUP_LENGTH {
         return true;
     }
     let is_cancel = buffer[4..8] == 80_877_102_u32.to_be_bytes();
--- a/crates/linkhold/src/settings/check.rs
+++ b/crates/linkhold/src/settings/check.rs
@@ -11,7 +11,7 @@
 use super::{Detection, PeerSettings, ReadPolicy, Settings, TableSource};
 
 const DEFAULT_STATUS_QUERY: &str = "SHOW linkhold.status";
-const SHORTEST_TOKEN_KEY: usize = 16;
+const MIN_TOKEN_KEY_LENGTH: usize = 16;
 const MAX_MILLISECONDS: i64 = 600_000;
 const MAX_FLEET_SIZE: i64 = 10_000;
 const MAX_CLIENT_CONNECTIONS: i64 = 1_000_000;
@@ -138,9 +138,9 @@
         .filter_map(|seed| reader.address("peer.seeds", seed))
         .collect();
     let key = key.unwrap_or_default();
-    if key.len() < SHORTEST_TOKEN_KEY {
+    if key.len() < MIN_TOKEN_KEY_LENGTH {
         let line = reader.line_of_key("peer.key");
-        let message = format!("expected at least {SHORTEST_TOKEN_KEY} characters");
+        let message = format!("expected at least {MIN_TOKEN_KEY_LENGTH} characters");
         reader.report(line, "peer.key", message);
     }
     Some(PeerSettings {
@@ -183,9 +183,9 @@
 fn token_key(reader: &mut Reader) -> String {
     const KEY: &str = "token_key";
     let key = reader.text(KEY);
-    if reader.has(KEY) && key.len() < SHORTEST_TOKEN_KEY {
+    if reader.has(KEY) && key.len() < MIN_TOKEN_KEY_LENGTH {
         let line = reader.line_of_key(KEY);
-        let message = format!("expected at least {SHORTEST_TOKEN_KEY} characters");
+        let message = format!("expected at least {MIN_TOKEN_KEY_LENGTH} characters");
         reader.report(line, KEY, message);
     }
     key
--- a/crates/linkhold/tests/common/mod.rs
+++ b/crates/linkhold/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use tokio_postgres::{Client, NoTls};
 
 /// Longest wait for a condition; generous, because only failing tests reach it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 pub const TOKEN_KEY: &str = "an-example-token-key";
 pub const HEADINGS: &str = "group,database,instance,address,zone,hours,weight,slots,connection_limit,read_wait_ms,write_wait_ms,state";
 
@@ -310,7 +310,7 @@
 pub async fn connect_with(address: &str, database: &str, options: &str) -> Client {
     let (host, port) = address.split_once(':').expect("is host:port");
     let text = format!("host={host} port={port} user=test dbname={database} options='{options}'");
-    let deadline = std::time::Instant::now() + PATIENCE;
+    let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         match tokio_postgres::connect(&text, NoTls).await {
             Ok((client, connection)) => {
@@ -347,7 +347,7 @@
     F: FnMut() -> Fut,
     Fut: Future<Output = bool>,
 {
-    let deadline = std::time::Instant::now() + PATIENCE;
+    let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
     while !condition().await {
         assert!(
             std::time::Instant::now() < deadline,
--- a/crates/linkhold/tests/failures.rs
+++ b/crates/linkhold/tests/failures.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{NodeProcess, PATIENCE, StandIn, connect, eventually, rows};
+use common::{NodeProcess, StandIn, WAIT_TIMEOUT, connect, eventually, rows};
 use linkhold_standin::relay::{Link, Relay, RelayState};
 use tokio_postgres::Client;
 
@@ -249,7 +249,7 @@
         .expect("does not panic")
         .expect("is finished");
     let ended = tokio::task::spawn_blocking(move || first.wait());
-    let (code, log) = tokio::time::timeout(PATIENCE, ended)
+    let (code, log) = tokio::time::timeout(WAIT_TIMEOUT, ended)
         .await
         .expect("the node ends")
         .expect("does not panic");
--- a/crates/linkhold/tests/protocol.rs
+++ b/crates/linkhold/tests/protocol.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{NodeProcess, PATIENCE, StandIn, connect, connect_with, eventually, rows};
+use common::{NodeProcess, StandIn, WAIT_TIMEOUT, connect, connect_with, eventually, rows};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio_postgres::NoTls;
@@ -190,7 +190,7 @@
     let undisturbed = tokio::spawn(async move { other.batch_execute("SELECT pg_sleep(1)").await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     token.cancel_query(NoTls).await.expect("is sent");
-    let (sleeper, result) = tokio::time::timeout(PATIENCE, sleeping)
+    let (sleeper, result) = tokio::time::timeout(WAIT_TIMEOUT, sleeping)
         .await
         .expect("ends early")
         .expect("does not panic");
