--- a/crates/linkhold-gateway/src/ports/store.rs
+++ b/crates/linkhold-gateway/src/ports/store.rs
@@ -61,12 +61,12 @@
 /// Source of the state that the operator sets.
 pub trait OperatorSource: Send + Sync + 'static {
     /// Reads the whole state and the revision from which to follow changes.
-    fn read_operator(
+    fn read_operator_state(
         &self,
     ) -> impl Future<Output = Result<(OperatorState, StoreRevision), StoreError>> + Send;
     /// Waits for changes since `from`, at most for `wait`. Returns them and the revision
     /// from which to follow next.
-    fn follow_operator(
+    fn follow_operator_changes(
         &self,
         from: StoreRevision,
         wait: Duration,
--- a/crates/linkhold-gateway/src/refresh.rs
+++ b/crates/linkhold-gateway/src/refresh.rs
@@ -88,8 +88,8 @@
         }
         gateway.metrics.store_calls.count(CallReason::Configuration);
         let answer = match revision {
-            Some(from) => follow_operator(&gateway, from).await,
-            None => read_operator(&gateway).await,
+            Some(from) => follow_operator_changes(&gateway, from).await,
+            None => read_operator_state(&gateway).await,
         };
         match answer {
             Ok(next) => {
@@ -105,9 +105,11 @@
     }
 }
 
-async fn read_operator<P: Platform>(gateway: &Gateway<P>) -> Result<StoreRevision, StoreError> {
+async fn read_operator_state<P: Platform>(
+    gateway: &Gateway<P>,
+) -> Result<StoreRevision, StoreError> {
     let asked_at = Instant::now();
-    let call = gateway.platform.read_operator();
+    let call = gateway.platform.read_operator_state();
     let (state, next) = with_timeout(call, READ_TIMEOUT).await?;
     gateway.store_era.observe(next.era());
     let cluster = &gateway.cluster;
@@ -120,13 +122,13 @@
     Ok(next)
 }
 
-async fn follow_operator<P: Platform>(
+async fn follow_operator_changes<P: Platform>(
     gateway: &Gateway<P>,
     from: StoreRevision,
 ) -> Result<StoreRevision, StoreError> {
     let asked_at = Instant::now();
     let wait = gateway.store_wait();
-    let call = gateway.platform.follow_operator(from, wait);
+    let call = gateway.platform.follow_operator_changes(from, wait);
     let (changes, next) = with_timeout(call, wait + READ_TIMEOUT).await?;
     let cluster = &gateway.cluster;
     cluster.change_evacuations(changes.evacuations, next, Instant::now());
