--- a/crates/linkhold-gateway/src/cluster_state.rs
+++ b/crates/linkhold-gateway/src/cluster_state.rs
@@ -299,8 +299,8 @@
     /// their identifiers.
     pub fn expire_instances(&self, now: Instant, drain: Duration) -> Vec<InstanceId> {
         let mut instances = lock(&self.instances);
-        let gone = instances.directory.expire(now, drain);
-        for id in &gone {
+        let expired = instances.directory.expire(now, drain);
+        for id in &expired {
             instances.health.remove(id);
             Event::info("instance_forgotten")
                 .field("instance", id)
@@ -312,7 +312,7 @@
         if has_changed {
             self.notify_lists_changed();
         }
-        gone
+        expired
     }
 
     /// The instance with this identifier, if it is known.
--- a/crates/linkhold-gateway/src/feed/frames.rs
+++ b/crates/linkhold-gateway/src/feed/frames.rs
@@ -187,11 +187,16 @@
             before.instances.get(*id) != Some(*entry)
         };
         let changed = self.instances.iter().filter(is_new);
-        let is_gone = |id: &&InstanceId| !self.instances.contains_key(*id);
+        let is_removed = |id: &&InstanceId| !self.instances.contains_key(*id);
         let changes = FeedInstanceChanges {
             revision: self.store_revision,
             changed: changed.map(|(_, entry)| entry.clone()).collect(),
-            removed: before.instances.keys().filter(is_gone).cloned().collect(),
+            removed: before
+                .instances
+                .keys()
+                .filter(is_removed)
+                .cloned()
+                .collect(),
         };
         let has_changes = !changes.changed.is_empty() || !changes.removed.is_empty();
         has_changes.then_some(FeedMessage::InstanceChanges(changes))
@@ -217,14 +222,14 @@
     fn changes_since(&self, before: &Self) -> Option<FeedMessage> {
         let [old, new] = [before, self].map(|it| nodes_by_name(&it.fleet));
         let is_new = |node: &&FeedNode| old.get(node.name.as_str()) != Some(node);
-        let is_gone = |node: &&FeedNode| !new.contains_key(node.name.as_str());
-        let gone = before.fleet.nodes.iter().filter(is_gone);
+        let is_removed = |node: &&FeedNode| !new.contains_key(node.name.as_str());
+        let removed = before.fleet.nodes.iter().filter(is_removed);
         let has_other_readers = self.fleet.readers != before.fleet.readers;
         Some(FeedMessage::FleetChanges(FeedFleetChanges {
             size: self.fleet.size,
             readers: has_other_readers.then(|| self.fleet.readers.clone()),
             changed: self.fleet.nodes.iter().filter(is_new).cloned().collect(),
-            removed: gone.map(|node| node.name.clone()).collect(),
+            removed: removed.map(|node| node.name.clone()).collect(),
         }))
     }
 }
--- a/crates/linkhold-gateway/src/registry.rs
+++ b/crates/linkhold-gateway/src/registry.rs
@@ -173,14 +173,14 @@
     followers: &[Registration],
     now: u64,
 ) -> Result<NewRow, StoreError> {
-    let gone = Registration {
+    let deregistered = Registration {
         node: FeedNode {
             address: None,
             ..own
         },
         age: ROW_EXPIRY + EXPIRED_NODE_PERIOD,
     };
-    encode(NodeRow::new(&gone, now), followers, now)
+    encode(NodeRow::new(&deregistered, now), followers, now)
 }
 
 fn encode(mut row: NodeRow, followers: &[Registration], now: u64) -> Result<NewRow, StoreError> {
--- a/crates/linkhold/src/settings/reader.rs
+++ b/crates/linkhold/src/settings/reader.rs
@@ -8,7 +8,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// An error in the settings and its place.
+/// An error in the settings, with its line and key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// Line, from 1; 0 for a flag or a missing key.
